--- a/include/ferrytray/gate/crash_link.hpp
+++ b/include/ferrytray/gate/crash_link.hpp
@@ -3,7 +3,7 @@
 #include <string> // for string
 
 #include "ferrytray/gate/options.hpp"           // for GateOptions
-#include "ferrytray/quarantine/crash_board.hpp" // for CrashBoard
+#include "ferrytray/quarantine/crash_board.hpp" // for CrashTracker
 #include "ferrytray/wire/log_client.hpp"        // for LogClient
 #include "ferrytray/wire/log_follower.hpp"      // for LogFollower
 
@@ -34,11 +34,11 @@
 private:
   void OnPage(const wire::LogPage& aPage);
   /// Tells the other gates what the board got since that number.
-  void TellSince(quarantine::NoticeNumber aFrom);
+  void TellSince(quarantine::NoticeOffset aFrom);
   void Flush();
 
   net::Loop& m_loop;
-  quarantine::CrashBoard m_board;
+  quarantine::CrashTracker m_board;
   wire::LogFollower m_follower;
   wire::LogClient m_appender;
   quarantine::CrashNotices m_untold;
--- a/include/ferrytray/peers/messages.hpp
+++ b/include/ferrytray/peers/messages.hpp
@@ -12,7 +12,7 @@
 #include "ferrytray/peers/replaced_board.hpp"   // for ReplacedNotices
 #include "ferrytray/peers/roster.hpp"           // for Peer
 #include "ferrytray/quarantine/crash_board.hpp" // for CrashNotices, Suspicion
-#include "ferrytray/quarantine/notice_log.hpp"  // for NoticeNumber
+#include "ferrytray/quarantine/notice_log.hpp"  // for NoticeOffset
 #include "ferrytray/store/topic_news.hpp"       // for TopicCursor, TopicNews
 
 namespace ferrytray::peers {
@@ -31,7 +31,7 @@
   ReplacedNotices m_replaced;
   quarantine::CrashNotices m_crashes; ///< that it has not told the other host yet
   /// Up to where it knows the other host's notices of this kind; for Own scope.
-  quarantine::NoticeNumber m_crashesFrom = 0;
+  quarantine::NoticeOffset m_crashesFrom = 0;
 };
 
 /// @brief The answer.
@@ -46,7 +46,7 @@
   ReplacedNotices m_replaced;
   std::vector<Peer> m_readers;        ///< hosts of the asking one's zone that read for others
   quarantine::CrashNotices m_crashes; ///< to a host that tells its own load
-  quarantine::NoticeNumber m_crashesNext = 0; ///< comes after these
+  quarantine::NoticeOffset m_crashesNext = 0; ///< comes after these
 };
 
 std::string Encode(const Peer& aPeer);
--- a/include/ferrytray/peers/news_exchange.hpp
+++ b/include/ferrytray/peers/news_exchange.hpp
@@ -18,7 +18,7 @@
 #include "ferrytray/peers/reload_board.hpp"       // for ReloadBoard
 #include "ferrytray/peers/replaced_board.hpp"     // for ReplacedBoard
 #include "ferrytray/peers/roster.hpp"             // for Roster
-#include "ferrytray/quarantine/crash_board.hpp"   // for CrashBoard
+#include "ferrytray/quarantine/crash_board.hpp"   // for CrashTracker
 #include "ferrytray/store/record_log.hpp"         // for RecordLog
 #include "ferrytray/store/topic_follower.hpp"     // for TopicFollower
 #include "ferrytray/store/unreadable_records.hpp" // for UnreadableRecords
@@ -67,7 +67,7 @@
                cache::Stores& aStores,
                LoadBoard& aLoads,
                ReloadBoard& aReloads,
-               quarantine::CrashBoard& aCrashes,
+               quarantine::CrashTracker& aCrashes,
                NewsOptions aOptions);
   /// @brief Listens, reads the topic of hosts, enrols there unless it is listed, begins to ask.
   /// @return ListenFailed
@@ -134,7 +134,7 @@
   struct Asked
   {
     base::TimePoint m_at;
-    quarantine::NoticeNumber m_crashesTold = 0; ///< it told all before that number
+    quarantine::NoticeOffset m_crashesTold = 0; ///< it told all before that number
   };
   /// Of one message; the rest comes with the next one.
   static constexpr std::size_t kMostCrashNotices = 512;
@@ -142,8 +142,8 @@
   struct CrashesKnown
   {
     std::uint64_t m_incarnation = 0; ///< of that host, as it last answered
-    quarantine::NoticeNumber m_told = 0;
-    quarantine::NoticeNumber m_heard = 0;
+    quarantine::NoticeOffset m_told = 0;
+    quarantine::NoticeOffset m_heard = 0;
   };
 
   void Look();
@@ -176,7 +176,7 @@
   void AddCrashes(const Peer& aPeer, NewsRequest& aQuestion);
   void TakeCrashes(const quarantine::CrashNotices& aNotices, base::TimePoint aNow);
   /// The answer came to a question that told notices up to that number.
-  void OnCrashesTold(const Peer& aPeer, const NewsReply& aReply, quarantine::NoticeNumber aUpTo);
+  void OnCrashesTold(const Peer& aPeer, const NewsReply& aReply, quarantine::NoticeOffset aUpTo);
   [[nodiscard]] std::vector<store::TopicNews> NewsOfTopics(
     const std::vector<store::TopicCursor>& aCursors,
     store::PassOn aMost,
@@ -194,7 +194,7 @@
   cache::Stores& m_stores;
   LoadBoard& m_loads;
   ReloadBoard& m_reloads;
-  quarantine::CrashBoard& m_crashes;
+  quarantine::CrashTracker& m_crashes;
   store::UnreadableRecords m_unreadable;
   NewsOptions m_options;
   std::uint64_t m_incarnation;
--- a/include/ferrytray/quarantine/crash_notice.hpp
+++ b/include/ferrytray/quarantine/crash_notice.hpp
@@ -13,20 +13,21 @@
 /// @brief What a host saw.
 enum class NoticeKind : std::uint8_t
 {
-  Broken,    ///< an endpoint closed the connection before its answer to the request was whole
-  Answered,  ///< an endpoint answered it whole
-  KnownGood, ///< an endpoint had answered it whole before
-  Tried,     ///< a host sends it once more though it is kept away
-  Alive,     ///< an endpoint answered a request that was sent after it broke one off
+  ConnectionBroken, ///< an endpoint closed the connection before its answer to the request was
+                    ///< whole
+  CompleteAnswer,   ///< an endpoint answered it whole
+  KnownGood,        ///< an endpoint had answered it whole before
+  ProbeStarted,     ///< a host sends it once more though it is kept away
+  EndpointAlive,    ///< an endpoint answered a request that was sent after it broke one off
 };
 
 /// @brief One observation that hosts pass on to each other.
 struct CrashNotice
 {
-  NoticeKind m_kind = NoticeKind::Broken;
+  NoticeKind m_kind = NoticeKind::ConnectionBroken;
   RequestKey m_request;
   EndpointKey m_endpoint = 0;
-  std::uint64_t m_number = 0; ///< tells observations apart that are otherwise alike
+  std::uint64_t m_sequence = 0; ///< tells observations apart that are otherwise alike
 };
 
 using CrashNotices = std::vector<CrashNotice>;
--- a/include/ferrytray/quarantine/served_table.hpp
+++ b/include/ferrytray/quarantine/served_table.hpp
@@ -14,24 +14,24 @@
 class ServedTable
 {
 public:
-  explicit ServedTable(std::size_t aPlaces)
-    : m_places(aPlaces, 0)
+  explicit ServedTable(std::size_t aSlotCount)
+    : m_slots(aSlotCount, 0)
   {
   }
 
-  void Add(const RequestKey& aRequest) { m_places[PlaceOf(aRequest)] = aRequest.m_high; }
+  void Add(const RequestKey& aRequest) { m_slots[SlotOf(aRequest)] = aRequest.m_high; }
   [[nodiscard]] bool Contains(const RequestKey& aRequest) const
   {
-    return m_places[PlaceOf(aRequest)] == aRequest.m_high;
+    return m_slots[SlotOf(aRequest)] == aRequest.m_high;
   }
 
 private:
-  [[nodiscard]] std::size_t PlaceOf(const RequestKey& aRequest) const
+  [[nodiscard]] std::size_t SlotOf(const RequestKey& aRequest) const
   {
-    return aRequest.m_low % m_places.size();
+    return aRequest.m_low % m_slots.size();
   }
 
-  std::vector<std::uint64_t> m_places;
+  std::vector<std::uint64_t> m_slots;
 };
 
 } // namespace ferrytray::quarantine
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -6,7 +6,7 @@
 #include <string>     // for string
 
 #include "ferrytray/net/loop.hpp"                 // for Loop
-#include "ferrytray/quarantine/record_keeper.hpp" // for RecordKeeper
+#include "ferrytray/quarantine/record_keeper.hpp" // for RecordReconciler
 #include "ferrytray/relay/feed_options.hpp"       // for FeedOptions
 #include "ferrytray/relay/relay_core.hpp"         // for RelayCore
 #include "ferrytray/store/topic_follower.hpp"     // for TopicFollower
@@ -37,7 +37,7 @@
   /// @param aDone called once; whether this host may send it
   void ClaimTry(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
   /// @brief Who records what other hosts saw.
-  void OnRank(std::function<quarantine::WriterRank(const quarantine::RequestKey&)> aCall)
+  void OnRank(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
   {
     m_rankOf = std::move(aCall);
   }
@@ -51,8 +51,8 @@
   RelayCore& m_core;
   store::RecordLog& m_log;
   std::string m_topicName;
-  quarantine::RecordKeeper m_keeper;
-  std::function<quarantine::WriterRank(const quarantine::RequestKey&)> m_rankOf;
+  quarantine::RecordReconciler m_keeper;
+  std::function<quarantine::WriterRole(const quarantine::RequestKey&)> m_rankOf;
   std::shared_ptr<store::TopicFollower> m_topic;
   std::set<quarantine::RequestKey> m_claiming;
   std::set<quarantine::RequestKey> m_logged; ///< the requests that were last told to be kept away
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -20,7 +20,7 @@
 #include "ferrytray/net/loop.hpp"                  // for Loop
 #include "ferrytray/peers/load_board.hpp"          // for LoadBoard
 #include "ferrytray/peers/reload_board.hpp"        // for ReloadBoard
-#include "ferrytray/quarantine/crash_board.hpp"    // for CrashBoard
+#include "ferrytray/quarantine/crash_board.hpp"    // for CrashTracker
 #include "ferrytray/relay/attempt_policy.hpp"      // for AttemptLimits
 #include "ferrytray/relay/prompt_placement.hpp"    // for PromptPlacement
 #include "ferrytray/relay/wire_format.hpp"         // for WireFormat
@@ -100,7 +100,7 @@
   std::function<bool(const std::string& aName, std::size_t aFirst)> m_isAmongHosts;
   /// Another endpoint answered at that incarnation's address. Unset: nobody is told.
   std::function<void(const std::string& aIncarnation)> m_onReplaced;
-  quarantine::CrashBoard m_crashes; ///< requests that end the endpoints that run them
+  quarantine::CrashTracker m_crashes; ///< requests that end the endpoints that run them
   /// What the record log has of those is known here. Until then nothing is sent to endpoints: hosts
   /// that start anew, one after the other or all at once, would each try such requests again.
   bool m_crashesLoaded = false;
--- a/src/ferrytray/gate/crash_link.cpp
+++ b/src/ferrytray/gate/crash_link.cpp
@@ -33,7 +33,7 @@
     all.push_back({ static_cast<int>(notice.m_kind),
                     base::ToHex(notice.m_request),
                     notice.m_endpoint,
-                    notice.m_number });
+                    notice.m_sequence });
   }
   return all.dump();
 }
@@ -95,8 +95,8 @@
                          const std::string& aLife,
                          base::TimePoint aSentAt)
 {
-  const quarantine::NoticeNumber before = m_board.Notices().End();
-  m_board.OnBroken(aRequest, KeyOfLife(aLife), aSentAt, base::MonotonicNow());
+  const quarantine::NoticeOffset before = m_board.Notices().End();
+  m_board.OnConnectionBroken(aRequest, KeyOfLife(aLife), aSentAt, base::MonotonicNow());
   telemetry::LogLine("endpoint_broke_off")
     .Add("request_key", base::ToHex(aRequest))
     .Add("endpoint", aLife)
@@ -106,19 +106,19 @@
 
 void CrashLink::OnAnswered(const quarantine::RequestKey& aRequest)
 {
-  const quarantine::NoticeNumber before = m_board.Notices().End();
-  m_board.OnAnswered(aRequest);
+  const quarantine::NoticeOffset before = m_board.Notices().End();
+  m_board.OnCompleteAnswer(aRequest);
   TellSince(before);
 }
 
 void CrashLink::OnReply(const std::string& aLife, base::TimePoint aSentAt)
 {
-  const quarantine::NoticeNumber before = m_board.Notices().End();
-  m_board.OnReply(KeyOfLife(aLife), aSentAt);
+  const quarantine::NoticeOffset before = m_board.Notices().End();
+  m_board.OnEndpointReply(KeyOfLife(aLife), aSentAt);
   TellSince(before);
 }
 
-void CrashLink::TellSince(quarantine::NoticeNumber aFrom)
+void CrashLink::TellSince(quarantine::NoticeOffset aFrom)
 {
   for (const CrashNotice& notice : m_board.Notices().Since(aFrom, kMostUntold)) {
     if (m_untold.size() < kMostUntold) {
--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -65,13 +65,13 @@
 void serialize(Archive& aArchive, CrashNotice& aNotice)
 {
   aArchive(aNotice.m_kind, aNotice.m_request.m_high, aNotice.m_request.m_low);
-  aArchive(aNotice.m_endpoint, aNotice.m_number);
+  aArchive(aNotice.m_endpoint, aNotice.m_sequence);
 }
 
 template<typename Archive>
 void serialize(Archive& aArchive, Suspicion& aSuspicion)
 {
-  aArchive(aSuspicion.m_ends, aSuspicion.m_knownGood, aSuspicion.m_tried);
+  aArchive(aSuspicion.m_crashedEndpoints, aSuspicion.m_knownGood, aSuspicion.m_probed);
 }
 
 } // namespace ferrytray::quarantine
--- a/src/ferrytray/peers/messages_test.cpp
+++ b/src/ferrytray/peers/messages_test.cpp
@@ -63,15 +63,17 @@
 
 TEST(PeerMessages, WhatIsKnownOfRequestsThatEndEndpointsComesBackAsItWas)
 {
-  const quarantine::CrashNotice notice{ quarantine::NoticeKind::Alive, { 1, 2 }, 3, 1ULL << 60 };
+  const quarantine::CrashNotice notice{
+    quarantine::NoticeKind::EndpointAlive, { 1, 2 }, 3, 1ULL << 60
+  };
   peers::NewsRequest request;
   request.m_crashes = { notice };
   request.m_crashesFrom = 7;
   const auto readRequest = peers::DecodeNewsRequest(peers::Encode(request));
-  CHECK(readRequest->m_crashes.at(0).m_kind == quarantine::NoticeKind::Alive);
+  CHECK(readRequest->m_crashes.at(0).m_kind == quarantine::NoticeKind::EndpointAlive);
   CHECK(readRequest->m_crashes.at(0).m_request == notice.m_request);
   LONGS_EQUAL(3, readRequest->m_crashes.at(0).m_endpoint);
-  CHECK(readRequest->m_crashes.at(0).m_number == 1ULL << 60);
+  CHECK(readRequest->m_crashes.at(0).m_sequence == 1ULL << 60);
   LONGS_EQUAL(7, readRequest->m_crashesFrom);
   peers::NewsReply reply;
   reply.m_crashes = { notice, notice };
--- a/src/ferrytray/peers/news_exchange.cpp
+++ b/src/ferrytray/peers/news_exchange.cpp
@@ -38,7 +38,7 @@
                            cache::Stores& aStores,
                            LoadBoard& aLoads,
                            ReloadBoard& aReloads,
-                           quarantine::CrashBoard& aCrashes,
+                           quarantine::CrashTracker& aCrashes,
                            NewsOptions aOptions)
   : m_loop(aLoop)
   , m_client(aClient)
@@ -249,8 +249,8 @@
   NewsRequest question = aQuestion;
   question.m_sender = m_roster->Self();
   AddCrashes(aPeer, question);
-  const quarantine::NoticeNumber told =
-    m_crashes.Notices().After(m_crashesKnown[aPeer.m_name].m_told, kMostCrashNotices);
+  const quarantine::NoticeOffset told =
+    m_crashes.Notices().NextOffset(m_crashesKnown[aPeer.m_name].m_told, kMostCrashNotices);
   net::ClientRequest request;
   request.m_method = "POST";
   request.m_url = "http://" + aPeer.m_address + std::string(kPath);
@@ -354,10 +354,10 @@
     SetDirect(true, "asked by others");
     reply.m_loads = Sum(reply.m_loads, m_loads.AllBut(question->m_sender.m_name));
     reply.m_readers = m_roster->ReadersOf(question->m_sender.m_zone, now);
-    const quarantine::NoticeNumber from =
+    const quarantine::NoticeOffset from =
       question->m_incarnation == m_incarnation ? question->m_crashesFrom : 0;
     reply.m_crashes = m_crashes.Notices().Since(from, kMostCrashNotices);
-    reply.m_crashesNext = m_crashes.Notices().After(from, kMostCrashNotices);
+    reply.m_crashesNext = m_crashes.Notices().NextOffset(from, kMostCrashNotices);
   } else {
     reply.m_loads = Sum(reply.m_loads, m_loads.OwnReports());
   }
--- a/src/ferrytray/peers/news_notices.cpp
+++ b/src/ferrytray/peers/news_notices.cpp
@@ -64,7 +64,7 @@
 
 void NewsExchange::OnCrashesTold(const Peer& aPeer,
                                  const NewsReply& aReply,
-                                 quarantine::NoticeNumber aUpTo)
+                                 quarantine::NoticeOffset aUpTo)
 {
   CrashesKnown& known = m_crashesKnown[aPeer.m_name];
   const bool another = known.m_incarnation != 0 && known.m_incarnation != aReply.m_incarnation;
--- a/src/ferrytray/peers/news_notices_test.cpp
+++ b/src/ferrytray/peers/news_notices_test.cpp
@@ -33,15 +33,15 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey request{ 1, 2 };
-  m_reader->m_crashes.OnBroken(request, 10, now, now);
-  m_follower->m_crashes.OnBroken(request, 20, now, now);
-  m_follower->m_crashes.OnBroken(request, 30, now, now);
+  m_reader->m_crashes.OnConnectionBroken(request, 10, now, now);
+  m_follower->m_crashes.OnConnectionBroken(request, 20, now, now);
+  m_follower->m_crashes.OnConnectionBroken(request, 30, now, now);
   CHECK(Until([&] {
     return m_reader->m_crashes.IsQuarantined(request) &&
            m_follower->m_crashes.IsQuarantined(request);
   }));
   // A host that has answered it whole clears it for all.
-  m_follower->m_crashes.OnAnswered(request);
+  m_follower->m_crashes.OnCompleteAnswer(request);
   CHECK(Until([&] { return !m_reader->m_crashes.IsQuarantined(request); }));
 }
 
@@ -71,7 +71,7 @@
   const peers::Peer strong{ "strong", "z", net::ToString(server->ListenAddress()), 9 };
   NewsHost host(m_loop, *m_client, "weak", 1);
   host.m_log.AppendKeyed("hosts", "strong", peers::Encode(strong), [](const auto&) {});
-  host.m_crashes.OnBroken({ 1, 2 }, 10, base::MonotonicNow(), base::MonotonicNow());
+  host.m_crashes.OnConnectionBroken({ 1, 2 }, 10, base::MonotonicNow(), base::MonotonicNow());
   CHECK(host.m_news.Start().has_value());
   CHECK(Until([&] { return told.size() >= 3; }));
   LONGS_EQUAL(1, told[0]);
--- a/src/ferrytray/quarantine/crash_board.cpp
+++ b/src/ferrytray/quarantine/crash_board.cpp
@@ -9,262 +9,266 @@
 namespace {
 
 /// Numbers of two processes are never alike, nor those of one process's lives.
-std::uint64_t RandomStart()
+std::uint64_t RandomSequenceBase()
 {
   std::random_device device;
-  constexpr unsigned kHalf = 32;
-  return static_cast<std::uint64_t>(device()) << kHalf;
+  constexpr unsigned kHalfBits = 32;
+  return static_cast<std::uint64_t>(device()) << kHalfBits;
 }
 
 } // namespace
 
-CrashBoard::CrashBoard(CrashBoardOptions aOptions)
+CrashTracker::CrashTracker(CrashTrackerOptions aOptions)
   : m_options(aOptions)
-  , m_notices(m_options.m_mostNotices)
-  , m_served(m_options.m_servedPlaces)
-  , m_lastNumber(RandomStart())
+  , m_notices(m_options.m_maxNotices)
+  , m_served(m_options.m_servedSlots)
+  , m_lastSequence(RandomSequenceBase())
 {
 }
 
-void CrashBoard::OnBroken(const RequestKey& aRequest,
-                          EndpointKey aEndpoint,
-                          base::TimePoint aSentAt,
-                          base::TimePoint aNow)
+void CrashTracker::OnConnectionBroken(const RequestKey& aRequest,
+                                      EndpointKey aEndpoint,
+                                      base::TimePoint aSentAt,
+                                      base::TimePoint aNow)
 {
-  const auto end = m_ends.find(aEndpoint);
-  if (end != m_ends.end() && aSentAt > end->second.m_firstAt && IsDown(aEndpoint, aSentAt)) {
+  const auto crash = m_crashes.find(aEndpoint);
+  if (crash != m_crashes.end() && aSentAt > crash->second.m_firstSeenAt &&
+      IsDown(aEndpoint, aSentAt)) {
     return; // it was down before the request reached it
   }
-  OnNotice({ NoticeKind::Broken, aRequest, aEndpoint, 0 }, aNow);
+  OnNotice({ NoticeKind::ConnectionBroken, aRequest, aEndpoint, 0 }, aNow);
 }
 
-void CrashBoard::OnAnswered(const RequestKey& aRequest)
+void CrashTracker::OnCompleteAnswer(const RequestKey& aRequest)
 {
   m_served.Add(aRequest);
   if (m_suspects.contains(aRequest)) {
-    m_notices.Add({ NoticeKind::Answered, aRequest, 0, ++m_lastNumber });
-    Drop(aRequest);
+    m_notices.Add({ NoticeKind::CompleteAnswer, aRequest, 0, ++m_lastSequence });
+    ClearSuspect(aRequest);
   }
 }
 
-void CrashBoard::OnReply(EndpointKey aEndpoint, base::TimePoint aSentAt)
+void CrashTracker::OnEndpointReply(EndpointKey aEndpoint, base::TimePoint aSentAt)
 {
-  const auto found = m_ends.find(aEndpoint);
-  if (found != m_ends.end() && aSentAt > found->second.m_heardAt) {
-    m_notices.Add({ NoticeKind::Alive, {}, aEndpoint, ++m_lastNumber });
+  const auto found = m_crashes.find(aEndpoint);
+  if (found != m_crashes.end() && aSentAt > found->second.m_lastSeenAt) {
+    m_notices.Add({ NoticeKind::EndpointAlive, {}, aEndpoint, ++m_lastSequence });
     MarkAlive(aEndpoint);
   }
 }
 
-bool CrashBoard::OnNotice(const CrashNotice& aNotice, base::TimePoint aNow)
+bool CrashTracker::OnNotice(const CrashNotice& aNotice, base::TimePoint aNow)
 {
   if (!m_notices.Add(aNotice)) {
     return false;
   }
   switch (aNotice.m_kind) {
-    case NoticeKind::Broken:
-      AddEnd(aNotice.m_request, aNotice.m_endpoint, aNow);
+    case NoticeKind::ConnectionBroken:
+      AddCrash(aNotice.m_request, aNotice.m_endpoint, aNow);
       break;
-    case NoticeKind::Answered:
+    case NoticeKind::CompleteAnswer:
       m_served.Add(aNotice.m_request);
-      Drop(aNotice.m_request);
+      ClearSuspect(aNotice.m_request);
       break;
     case NoticeKind::KnownGood:
-      MarkGood(aNotice.m_request);
+      MarkKnownGood(aNotice.m_request);
       break;
-    case NoticeKind::Alive:
+    case NoticeKind::EndpointAlive:
       MarkAlive(aNotice.m_endpoint);
       break;
-    case NoticeKind::Tried:
-      MarkTried(aNotice.m_request);
+    case NoticeKind::ProbeStarted:
+      MarkProbed(aNotice.m_request);
       break;
   }
   return true;
 }
 
-void CrashBoard::OnRecord(const RequestKey& aRequest,
-                          const Suspicion& aRecorded,
-                          base::TimePoint aNow)
+void CrashTracker::OnRecord(const RequestKey& aRequest,
+                            const Suspicion& aRecorded,
+                            base::TimePoint aNow)
 {
-  for (const EndpointKey end : aRecorded.m_ends) {
-    OnNotice({ NoticeKind::Broken, aRequest, end, 0 }, aNow);
+  for (const EndpointKey endpoint : aRecorded.m_crashedEndpoints) {
+    OnNotice({ NoticeKind::ConnectionBroken, aRequest, endpoint, 0 }, aNow);
   }
   if (aRecorded.m_knownGood) {
-    MarkGood(aRequest);
+    MarkKnownGood(aRequest);
   }
-  if (aRecorded.m_tried) {
-    MarkTried(aRequest);
+  if (aRecorded.m_probed) {
+    MarkProbed(aRequest);
   }
 }
 
-bool CrashBoard::MayTry(const RequestKey& aRequest, base::TimePoint aNow) const
+bool CrashTracker::MayProbe(const RequestKey& aRequest, base::TimePoint aNow) const
 {
-  return MayTryAfter(aRequest, m_options.m_tryAfter, aNow);
+  return MayProbeAfter(aRequest, m_options.m_probeDelay, aNow);
 }
 
-bool CrashBoard::MayTryAnywhere(const RequestKey& aRequest, base::TimePoint aNow) const
+bool CrashTracker::MayProbeAnyEndpoint(const RequestKey& aRequest, base::TimePoint aNow) const
 {
-  return MayTryAfter(aRequest, m_options.m_tryAnywhereAfter, aNow);
+  return MayProbeAfter(aRequest, m_options.m_probeAnyEndpointDelay, aNow);
 }
 
-bool CrashBoard::MayTryAfter(const RequestKey& aRequest,
-                             base::Duration aRest,
-                             base::TimePoint aNow) const
+bool CrashTracker::MayProbeAfter(const RequestKey& aRequest,
+                                 base::Duration aDelay,
+                                 base::TimePoint aNow) const
 {
   const auto found = m_suspects.find(aRequest);
-  return found != m_suspects.end() && Tells(found->second.m_known) &&
-         !found->second.m_known.m_tried && aNow >= found->second.m_lastEndAt + aRest;
+  return found != m_suspects.end() && ReachesThreshold(found->second.m_suspicion) &&
+         !found->second.m_suspicion.m_probed && aNow >= found->second.m_lastCrashAt + aDelay;
 }
 
-void CrashBoard::OnTried(const RequestKey& aRequest, base::TimePoint aNow)
+void CrashTracker::OnProbeStarted(const RequestKey& aRequest, base::TimePoint aNow)
 {
-  OnNotice({ NoticeKind::Tried, aRequest, 0, ++m_lastNumber }, aNow);
+  OnNotice({ NoticeKind::ProbeStarted, aRequest, 0, ++m_lastSequence }, aNow);
 }
 
-bool CrashBoard::Tells(const Suspicion& aKnown) const
+bool CrashTracker::ReachesThreshold(const Suspicion& aSuspicion) const
 {
-  return aKnown.m_ends.size() >=
-         (aKnown.m_knownGood ? m_options.m_endsThatTellOfGood : m_options.m_endsThatTell);
+  return aSuspicion.m_crashedEndpoints.size() >= (aSuspicion.m_knownGood
+                                                    ? m_options.m_knownGoodQuarantineThreshold
+                                                    : m_options.m_quarantineThreshold);
 }
 
-bool CrashBoard::IsQuarantined(const RequestKey& aRequest) const
+bool CrashTracker::IsQuarantined(const RequestKey& aRequest) const
 {
   const auto found = m_suspects.find(aRequest);
-  return found != m_suspects.end() && Tells(found->second.m_known);
+  return found != m_suspects.end() && ReachesThreshold(found->second.m_suspicion);
 }
 
-bool CrashBoard::IsDown(EndpointKey aEndpoint, base::TimePoint aNow) const
+bool CrashTracker::IsDown(EndpointKey aEndpoint, base::TimePoint aNow) const
 {
-  const auto found = m_ends.find(aEndpoint);
-  return found != m_ends.end() && aNow < found->second.m_heardAt + m_options.m_downFor;
+  const auto found = m_crashes.find(aEndpoint);
+  return found != m_crashes.end() &&
+         aNow < found->second.m_lastSeenAt + m_options.m_assumedDowntime;
 }
 
-std::optional<Suspicion> CrashBoard::Find(const RequestKey& aRequest) const
+std::optional<Suspicion> CrashTracker::Find(const RequestKey& aRequest) const
 {
   const auto found = m_suspects.find(aRequest);
-  return found == m_suspects.end() ? std::nullopt : std::optional(found->second.m_known);
+  return found == m_suspects.end() ? std::nullopt : std::optional(found->second.m_suspicion);
 }
 
-std::vector<RequestKey> CrashBoard::WithEnds(std::size_t aLeast) const
+std::vector<RequestKey> CrashTracker::RequestsWithCrashes(std::size_t aMinCrashes) const
 {
   std::vector<RequestKey> requests;
   for (const auto& [request, suspect] : m_suspects) {
-    if (suspect.m_known.m_ends.size() >= aLeast) {
+    if (suspect.m_suspicion.m_crashedEndpoints.size() >= aMinCrashes) {
       requests.push_back(request);
     }
   }
   return requests;
 }
 
-std::vector<RequestKey> CrashBoard::QuarantinedRequests() const
+std::vector<RequestKey> CrashTracker::QuarantinedRequests() const
 {
   std::vector<RequestKey> requests;
   for (const auto& [request, suspect] : m_suspects) {
-    if (Tells(suspect.m_known)) {
+    if (ReachesThreshold(suspect.m_suspicion)) {
       requests.push_back(request);
     }
   }
   return requests;
 }
 
-void CrashBoard::AddEnd(const RequestKey& aRequest, EndpointKey aEndpoint, base::TimePoint aNow)
+void CrashTracker::AddCrash(const RequestKey& aRequest, EndpointKey aEndpoint, base::TimePoint aNow)
 {
   if (!m_suspects.contains(aRequest)) {
-    MakeRoom();
+    EvictSuspects();
   }
   Suspect& suspect = m_suspects[aRequest];
-  std::vector<EndpointKey>& ends = suspect.m_known.m_ends;
-  const auto place = std::lower_bound(ends.begin(), ends.end(), aEndpoint);
-  const bool enough = ends.size() >= m_options.m_mostEnds;
-  if (enough || (place != ends.end() && *place == aEndpoint)) {
+  std::vector<EndpointKey>& endpoints = suspect.m_suspicion.m_crashedEndpoints;
+  const auto position = std::lower_bound(endpoints.begin(), endpoints.end(), aEndpoint);
+  const bool full = endpoints.size() >= m_options.m_maxCrashesPerRequest;
+  if (full || (position != endpoints.end() && *position == aEndpoint)) {
     return;
   }
-  ends.insert(place, aEndpoint);
-  suspect.m_lastEndAt = aNow;
-  if (!suspect.m_known.m_knownGood && m_served.Contains(aRequest)) {
-    suspect.m_known.m_knownGood = true;
+  endpoints.insert(position, aEndpoint);
+  suspect.m_lastCrashAt = aNow;
+  if (!suspect.m_suspicion.m_knownGood && m_served.Contains(aRequest)) {
+    suspect.m_suspicion.m_knownGood = true;
     m_notices.Add({ NoticeKind::KnownGood, aRequest, 0, 0 });
   }
-  End& end = m_ends.try_emplace(aEndpoint, End{ {}, aNow, aNow }).first->second;
-  end.m_requests.push_back(aRequest);
-  end.m_heardAt = aNow;
+  EndpointCrash& crash =
+    m_crashes.try_emplace(aEndpoint, EndpointCrash{ {}, aNow, aNow }).first->second;
+  crash.m_requests.push_back(aRequest);
+  crash.m_lastSeenAt = aNow;
 }
 
-void CrashBoard::MarkGood(const RequestKey& aRequest)
+void CrashTracker::MarkKnownGood(const RequestKey& aRequest)
 {
   const auto found = m_suspects.find(aRequest);
   if (found != m_suspects.end()) {
-    found->second.m_known.m_knownGood = true;
+    found->second.m_suspicion.m_knownGood = true;
   }
 }
 
-void CrashBoard::MarkTried(const RequestKey& aRequest)
+void CrashTracker::MarkProbed(const RequestKey& aRequest)
 {
   const auto found = m_suspects.find(aRequest);
   if (found != m_suspects.end()) {
-    found->second.m_known.m_tried = true;
+    found->second.m_suspicion.m_probed = true;
   }
 }
 
-void CrashBoard::MarkAlive(EndpointKey aEndpoint)
+void CrashTracker::MarkAlive(EndpointKey aEndpoint)
 {
-  const auto found = m_ends.find(aEndpoint);
-  if (found == m_ends.end()) {
+  const auto found = m_crashes.find(aEndpoint);
+  if (found == m_crashes.end()) {
     return;
   }
   const std::vector<RequestKey> requests = found->second.m_requests;
   for (const RequestKey& request : requests) {
-    TakeEnd(request, aEndpoint);
+    RemoveCrash(request, aEndpoint);
   }
 }
 
-void CrashBoard::TakeEnd(const RequestKey& aRequest, EndpointKey aEndpoint)
+void CrashTracker::RemoveCrash(const RequestKey& aRequest, EndpointKey aEndpoint)
 {
   if (const auto suspect = m_suspects.find(aRequest); suspect != m_suspects.end()) {
-    std::erase(suspect->second.m_known.m_ends, aEndpoint);
-    if (suspect->second.m_known.m_ends.empty()) {
+    std::erase(suspect->second.m_suspicion.m_crashedEndpoints, aEndpoint);
+    if (suspect->second.m_suspicion.m_crashedEndpoints.empty()) {
       m_suspects.erase(suspect);
     }
   }
-  if (const auto end = m_ends.find(aEndpoint); end != m_ends.end()) {
-    std::erase(end->second.m_requests, aRequest);
-    if (end->second.m_requests.empty()) {
-      m_ends.erase(end);
+  if (const auto crash = m_crashes.find(aEndpoint); crash != m_crashes.end()) {
+    std::erase(crash->second.m_requests, aRequest);
+    if (crash->second.m_requests.empty()) {
+      m_crashes.erase(crash);
     }
   }
 }
 
-void CrashBoard::Drop(const RequestKey& aRequest)
+void CrashTracker::ClearSuspect(const RequestKey& aRequest)
 {
   const auto found = m_suspects.find(aRequest);
   if (found == m_suspects.end()) {
     return;
   }
-  const std::vector<EndpointKey> ends = found->second.m_known.m_ends;
-  for (const EndpointKey end : ends) {
-    TakeEnd(aRequest, end);
+  const std::vector<EndpointKey> endpoints = found->second.m_suspicion.m_crashedEndpoints;
+  for (const EndpointKey endpoint : endpoints) {
+    RemoveCrash(aRequest, endpoint);
   }
 }
 
-void CrashBoard::MakeRoom()
+void CrashTracker::EvictSuspects()
 {
-  if (m_suspects.size() < m_options.m_mostSuspects) {
+  if (m_suspects.size() < m_options.m_maxSuspects) {
     return;
   }
   // Those under which the fewest broke off, of these the ones that were seen longest ago; many at
   // once, since each time all are looked at.
-  using Weighed = std::tuple<std::size_t, base::TimePoint, RequestKey>;
-  std::vector<Weighed> all;
+  using RankedSuspect = std::tuple<std::size_t, base::TimePoint, RequestKey>;
+  std::vector<RankedSuspect> all;
   all.reserve(m_suspects.size());
   for (const auto& [request, suspect] : m_suspects) {
-    all.emplace_back(suspect.m_known.m_ends.size(), suspect.m_lastEndAt, request);
+    all.emplace_back(suspect.m_suspicion.m_crashedEndpoints.size(), suspect.m_lastCrashAt, request);
   }
-  constexpr std::size_t kPart = 16;
-  const std::size_t dropped = 1 + all.size() / kPart;
+  constexpr std::size_t kEvictedFraction = 16;
+  const std::size_t dropped = 1 + all.size() / kEvictedFraction;
   const auto last = all.begin() + static_cast<std::ptrdiff_t>(dropped - 1);
   std::nth_element(all.begin(), last, all.end());
   for (std::size_t i = 0; i < dropped; ++i) {
-    Drop(std::get<RequestKey>(all[i]));
+    ClearSuspect(std::get<RequestKey>(all[i]));
   }
 }
 
--- a/src/ferrytray/quarantine/notice_log.cpp
+++ b/src/ferrytray/quarantine/notice_log.cpp
@@ -14,43 +14,43 @@
                                             aNotice.m_request.m_high,
                                             aNotice.m_request.m_low,
                                             aNotice.m_endpoint,
-                                            aNotice.m_number };
+                                            aNotice.m_sequence };
   return base::Hash64("notice",
                       std::string_view(reinterpret_cast<const char*>(words.data()), sizeof(words)));
 }
 
 bool NoticeLog::Add(const CrashNotice& aNotice)
 {
-  if (!m_known.insert(HashOf(aNotice)).second) {
+  if (!m_knownHashes.insert(HashOf(aNotice)).second) {
     return false;
   }
   m_notices.push_back(aNotice);
-  if (m_notices.size() > m_most) {
-    m_known.erase(HashOf(m_notices.front()));
+  if (m_notices.size() > m_capacity) {
+    m_knownHashes.erase(HashOf(m_notices.front()));
     m_notices.pop_front();
     ++m_begin;
   }
   return true;
 }
 
-std::size_t NoticeLog::IndexOf(NoticeNumber aFrom) const
+std::size_t NoticeLog::IndexOf(NoticeOffset aFrom) const
 {
   // A number beyond the end is of another process: everything is new to whoever has it.
   const bool known = aFrom >= m_begin && aFrom <= End();
   return known ? static_cast<std::size_t>(aFrom - m_begin) : 0;
 }
 
-CrashNotices NoticeLog::Since(NoticeNumber aFrom, std::size_t aMost) const
+CrashNotices NoticeLog::Since(NoticeOffset aFrom, std::size_t aMaxCount) const
 {
   const std::size_t first = IndexOf(aFrom);
-  const std::size_t last = std::min(first + aMost, m_notices.size());
+  const std::size_t last = std::min(first + aMaxCount, m_notices.size());
   return { m_notices.begin() + static_cast<std::ptrdiff_t>(first),
            m_notices.begin() + static_cast<std::ptrdiff_t>(last) };
 }
 
-NoticeNumber NoticeLog::After(NoticeNumber aFrom, std::size_t aMost) const
+NoticeOffset NoticeLog::NextOffset(NoticeOffset aFrom, std::size_t aMaxCount) const
 {
-  return m_begin + std::min(IndexOf(aFrom) + aMost, m_notices.size());
+  return m_begin + std::min(IndexOf(aFrom) + aMaxCount, m_notices.size());
 }
 
 } // namespace ferrytray::quarantine
--- a/src/ferrytray/quarantine/record_keeper_test.cpp
+++ b/src/ferrytray/quarantine/record_keeper_test.cpp
@@ -12,90 +12,90 @@
 
 } // namespace
 
-TEST_GROUP(RecordKeeper)
+TEST_GROUP(RecordReconciler)
 {
   const RequestKey m_request{ 1, 2 };
-  CrashBoard m_board;
-  RecordKeeper m_keeper;
-  WriterRank m_rank = WriterRank::Other;
+  CrashTracker m_tracker;
+  RecordReconciler m_reconciler;
+  WriterRole m_role = WriterRole::NonWriter;
 
-  void Break(EndpointKey aEndpoint)
+  void BreakConnection(EndpointKey aEndpoint)
   {
-    m_board.OnBroken(m_request, aEndpoint, kStart, kStart);
+    m_tracker.OnConnectionBroken(m_request, aEndpoint, kStart, kStart);
   }
   std::vector<RecordWrite> DueAt(base::Duration aAfter)
   {
-    return m_keeper.Due(
-      m_board, [this](const RequestKey&) { return m_rank; }, kStart + aAfter);
+    return m_reconciler.DueWrites(
+      m_tracker, [this](const RequestKey&) { return m_role; }, kStart + aAfter);
   }
 };
 
-TEST(RecordKeeper, OneEndIsNotRecordedAndASecondOneIsAtOnceByWhoSawIt)
+TEST(RecordReconciler, TheObservingHostRecordsFromTheSecondCrashOn)
 {
-  Break(1);
-  m_keeper.OnOwn(m_request);
+  BreakConnection(1);
+  m_reconciler.OnLocalObservation(m_request);
   CHECK(DueAt(0s).empty());
-  Break(2);
-  m_keeper.OnOwn(m_request);
+  BreakConnection(2);
+  m_reconciler.OnLocalObservation(m_request);
   const auto due = DueAt(0s);
   LONGS_EQUAL(1, due.size());
-  LONGS_EQUAL(2, due.front().m_suspicion->m_ends.size());
+  LONGS_EQUAL(2, due.front().m_suspicion->m_crashedEndpoints.size());
   CHECK(DueAt(10s).empty()); // while it is being written
-  m_keeper.OnWritten(due.front(), true, kStart);
+  m_reconciler.OnWriteFinished(due.front(), true, kStart);
   CHECK(DueAt(10s).empty());
-  LONGS_EQUAL(1, m_keeper.There().size());
+  LONGS_EQUAL(1, m_reconciler.RecordedRequests().size());
 }
 
-TEST(RecordKeeper, WhatOnlyOthersSawIsRecordedByTheFirstHostsThenByReaders)
+TEST(RecordReconciler, PrimariesThenReadersRecordWhatOtherHostsObserved)
 {
-  Break(1);
-  Break(2);
+  BreakConnection(1);
+  BreakConnection(2);
   CHECK(DueAt(0s).empty());
   CHECK(DueAt(1h).empty()); // a host that is neither
-  m_rank = WriterRank::First;
-  m_keeper = RecordKeeper();
+  m_role = WriterRole::Primary;
+  m_reconciler = RecordReconciler();
   CHECK(DueAt(0s).empty());
   CHECK(DueAt(699ms).empty());
   LONGS_EQUAL(1, DueAt(700ms).size());
-  m_rank = WriterRank::Reader;
-  m_keeper = RecordKeeper();
+  m_role = WriterRole::LogReader;
+  m_reconciler = RecordReconciler();
   CHECK(DueAt(0s).empty());
   CHECK(DueAt(2499ms).empty());
   LONGS_EQUAL(1, DueAt(2500ms).size());
 }
 
-TEST(RecordKeeper, AWriteThatFailedIsRepeatedAfterARest)
+TEST(RecordReconciler, RetriesAFailedWriteAfterADelay)
 {
-  Break(1);
-  Break(2);
-  m_keeper.OnOwn(m_request);
+  BreakConnection(1);
+  BreakConnection(2);
+  m_reconciler.OnLocalObservation(m_request);
   const auto due = DueAt(0s);
-  m_keeper.OnWritten(due.front(), false, kStart);
+  m_reconciler.OnWriteFinished(due.front(), false, kStart);
   CHECK(DueAt(499ms).empty());
   LONGS_EQUAL(1, DueAt(500ms).size());
 }
 
-TEST(RecordKeeper, WhatIsClearedIsRemoved)
+TEST(RecordReconciler, RemovesTheRecordOfAClearedRequest)
 {
-  m_keeper.OnThere(m_request, Suspicion{ { 1, 2, 3 }, false, false });
-  m_keeper.OnOwn(m_request);
+  m_reconciler.OnRecordRead(m_request, Suspicion{ { 1, 2, 3 }, false, false });
+  m_reconciler.OnLocalObservation(m_request);
   const auto due = DueAt(0s);
   LONGS_EQUAL(1, due.size());
   CHECK_FALSE(due.front().m_suspicion.has_value());
-  m_keeper.OnWritten(due.front(), true, kStart);
-  CHECK(m_keeper.There().empty());
+  m_reconciler.OnWriteFinished(due.front(), true, kStart);
+  CHECK(m_reconciler.RecordedRequests().empty());
   CHECK(DueAt(10s).empty());
 }
 
-TEST(RecordKeeper, ARecordThatAnotherHostWroteIsNotWrittenAgain)
+TEST(RecordReconciler, DoesNotRewriteARecordWrittenByAnotherHost)
 {
-  Break(1);
-  Break(2);
-  m_rank = WriterRank::First;
+  BreakConnection(1);
+  BreakConnection(2);
+  m_role = WriterRole::Primary;
   CHECK(DueAt(0s).empty());
-  m_keeper.OnThere(m_request, Suspicion{ { 1, 2 }, false, false });
+  m_reconciler.OnRecordRead(m_request, Suspicion{ { 1, 2 }, false, false });
   CHECK(DueAt(10s).empty());
-  Break(3);
+  BreakConnection(3);
   CHECK(DueAt(10s).empty());
   LONGS_EQUAL(1, DueAt(11s).size());
 }
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -13,7 +13,7 @@
 /// It broke off requests, here or at another host.
 bool IsDown(const RelayCore& aCore, const std::string& aIncarnation, base::TimePoint aNow)
 {
-  return aCore.m_crashes.AnyEnded() && aCore.m_crashes.IsDown(peers::KeyOf(aIncarnation), aNow);
+  return aCore.m_crashes.AnyCrashed() && aCore.m_crashes.IsDown(peers::KeyOf(aIncarnation), aNow);
 }
 
 /// Engines whose announced reload is over are taken to have their new weights.
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -54,7 +54,7 @@
   m_reply->OnClosed([self = shared_from_this()] { self->OnCallerGone(); });
   if (!IsKeptAway()) {
     Admit();
-  } else if (m_core.m_claimTry && m_core.m_crashes.MayTry(m_key, m_arrival) && ChooseForTry()) {
+  } else if (m_core.m_claimTry && m_core.m_crashes.MayProbe(m_key, m_arrival) && ChooseForTry()) {
     ClaimTry();
   } else {
     KeepAway(); // before it takes a place
--- a/src/ferrytray/relay/exchange_end.cpp
+++ b/src/ferrytray/relay/exchange_end.cpp
@@ -31,7 +31,7 @@
   if (endpoint != nullptr && endpoint->m_leaving) {
     return; // it ends because it leaves
   }
-  m_core.m_crashes.OnBroken(
+  m_core.m_crashes.OnConnectionBroken(
     m_key, peers::KeyOf(aAttempt.m_endpoint), aAttempt.m_sentAt, base::MonotonicNow());
   if (m_core.m_onCrashesChanged) {
     m_core.m_onCrashesChanged(m_key);
@@ -41,7 +41,7 @@
 void Exchange::NoteAnswered()
 {
   const bool suspected = m_core.m_crashes.Find(m_key).has_value();
-  m_core.m_crashes.OnAnswered(m_key);
+  m_core.m_crashes.OnCompleteAnswer(m_key);
   if (suspected && m_core.m_onCrashesChanged) {
     m_core.m_onCrashesChanged(m_key);
   }
@@ -50,12 +50,12 @@
 bool Exchange::ChooseForTry()
 {
   m_service = m_planner.PickService();
-  const bool anywhere = m_core.m_crashes.MayTryAnywhere(m_key, m_arrival);
+  const bool anywhere = m_core.m_crashes.MayProbeAnyEndpoint(m_key, m_arrival);
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(m_service)) {
     const std::string& name = endpoint->m_incarnation;
     const bool answers =
       anywhere || m_core.m_board.AnsweredSince(name, m_arrival - kAnsweredLately);
-    if (!answers || m_core.m_crashes.HasEnded(peers::KeyOf(name))) {
+    if (!answers || m_core.m_crashes.HasCrashed(peers::KeyOf(name))) {
       m_tried.insert(name);
     }
   }
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -39,8 +39,8 @@
   const base::TimePoint now = base::MonotonicNow();
   const auto reply = Ask("/again/x", "k", "", "bad");
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "bad" });
-  m_core.m_crashes.OnBroken(key, 1, now, now);
-  m_core.m_crashes.OnBroken(key, 2, now, now);
+  m_core.m_crashes.OnConnectionBroken(key, 1, now, now);
+  m_core.m_crashes.OnConnectionBroken(key, 2, now, now);
   m_client.End(WireEnd::NoReply);
   LONGS_EQUAL(1, m_client.m_calls.size());
   LONGS_EQUAL(502, reply->m_status);
@@ -73,12 +73,12 @@
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "c" });
-  m_core.m_crashes.OnBroken(key, 1, now, now);
-  m_core.m_crashes.OnBroken(other, peers::KeyOf("a"), now - 1s, now - 1s);
-  m_core.m_crashes.OnBroken(other, peers::KeyOf("b"), now - 1s, now - 1s);
+  m_core.m_crashes.OnConnectionBroken(key, 1, now, now);
+  m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), now - 1s, now - 1s);
+  m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("b"), now - 1s, now - 1s);
   Ask("/once/x", "k", "", "b");
   m_client.Head(200, {});
-  LONGS_EQUAL(1, m_core.m_crashes.Find(other)->m_ends.size());
+  LONGS_EQUAL(1, m_core.m_crashes.Find(other)->m_crashedEndpoints.size());
   m_client.End(WireEnd::Complete);
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
@@ -95,7 +95,7 @@
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
-    m_core.m_crashes.OnBroken(key, end, before, before);
+    m_core.m_crashes.OnConnectionBroken(key, end, before, before);
   }
   bool may = false;
   m_core.m_claimTry = [&](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
@@ -115,7 +115,7 @@
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
-    m_core.m_crashes.OnBroken(key, end, before, before);
+    m_core.m_crashes.OnConnectionBroken(key, end, before, before);
   }
   m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
@@ -136,8 +136,8 @@
   const base::TimePoint before = base::MonotonicNow() - 1s;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
-  m_core.m_crashes.OnBroken(other, peers::KeyOf("a"), before, before);
-  m_core.m_crashes.OnBroken(other, peers::KeyOf("b"), before, before);
+  m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), before, before);
+  m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("b"), before, before);
   Ask("/once/x", "k", "", "b");
   m_client.End(WireEnd::NoReply);
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
@@ -147,14 +147,14 @@
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
-  m_core.m_crashes.OnBroken(other, peers::KeyOf("a"), before, before);
+  m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), before, before);
   m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
   for (const char* body : { "b", "c", "d", "e", "f", "g" }) {
     const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", body });
     for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
-      m_core.m_crashes.OnBroken(key, end, before, before);
+      m_core.m_crashes.OnConnectionBroken(key, end, before, before);
     }
     Ask("/once/x", "k", "", body);
     STRCMP_EQUAL("b", Sent("to").c_str());
@@ -168,7 +168,7 @@
   const base::TimePoint before = base::MonotonicNow() - 6s;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
-    m_core.m_crashes.OnBroken(key, end, before, before);
+    m_core.m_crashes.OnConnectionBroken(key, end, before, before);
   }
   m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
@@ -190,7 +190,9 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
-  const quarantine::CrashNotice told{ quarantine::NoticeKind::Broken, other, peers::KeyOf("a"), 1 };
+  const quarantine::CrashNotice told{
+    quarantine::NoticeKind::ConnectionBroken, other, peers::KeyOf("a"), 1
+  };
   m_core.m_crashes.OnNotice(told, now);
   for (int i = 0; i < 20; ++i) {
     Ask("/once/x", "k", i % 2 == 0 ? "m" : "", "b" + std::to_string(i));
@@ -202,7 +204,7 @@
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
-  m_core.m_crashes.OnBroken(other, peers::KeyOf("a"), before, before);
+  m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), before, before);
   bool used = false;
   for (int i = 0; i < 20; ++i) {
     Ask("/once/x", "k", "", "b" + std::to_string(i));
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -45,7 +45,7 @@
   const bool replaced = aHead.m_misdirected && !aHead.m_endpointId.empty() &&
                         aHead.m_endpointId != m_attempt->m_endpointId;
   if (!replaced) {
-    m_core.m_crashes.OnReply(peers::KeyOf(m_attempt->m_endpoint), m_attempt->m_sentAt);
+    m_core.m_crashes.OnEndpointReply(peers::KeyOf(m_attempt->m_endpoint), m_attempt->m_sentAt);
   }
   if (replaced) {
     telemetry::LogLine("endpoint_gone")
--- a/src/ferrytray/relay/quarantine_feed.cpp
+++ b/src/ferrytray/relay/quarantine_feed.cpp
@@ -28,7 +28,7 @@
   : m_core(aCore)
   , m_log(aLog)
   , m_topicName(std::move(aTopic))
-  , m_rankOf([](const quarantine::RequestKey&) { return quarantine::WriterRank::Other; })
+  , m_rankOf([](const quarantine::RequestKey&) { return quarantine::WriterRole::NonWriter; })
 {
   store::FollowOptions follow;
   follow.m_topic = m_topicName;
@@ -74,7 +74,7 @@
 
 void QuarantineFeed::OnOwn(const quarantine::RequestKey& aRequest)
 {
-  m_keeper.OnOwn(aRequest);
+  m_keeper.OnLocalObservation(aRequest);
   OnChange();
 }
 
@@ -85,7 +85,7 @@
     return;
   }
   for (const quarantine::RecordWrite& write :
-       m_keeper.Due(m_core.m_crashes, m_rankOf, base::MonotonicNow())) {
+       m_keeper.DueWrites(m_core.m_crashes, m_rankOf, base::MonotonicNow())) {
     Write(write);
   }
 }
@@ -97,7 +97,7 @@
                     base::ToHex(aWrite.m_request),
                     value,
                     [this, aWrite](const base::Result<store::AppendResult>& aResult) {
-                      m_keeper.OnWritten(aWrite, aResult.has_value(), base::MonotonicNow());
+                      m_keeper.OnWriteFinished(aWrite, aResult.has_value(), base::MonotonicNow());
                       if (!aResult) {
                         telemetry::LogLine("quarantine")
                           .Add("request_key", base::ToHex(aWrite.m_request))
@@ -116,7 +116,7 @@
     return;
   }
   // The record comes before the send: were all hosts killed after it, none may try again.
-  known->m_tried = true;
+  known->m_probed = true;
   m_log.AppendKeyed(
     m_topicName,
     base::ToHex(aRequest),
@@ -127,7 +127,7 @@
       // somebody tried meanwhile: only the first host by rank claims, two where hosts disagree.
       const bool may = aResult && m_core.m_crashes.IsQuarantined(aRequest) && !m_stopped;
       if (may) {
-        m_core.m_crashes.OnTried(aRequest, base::MonotonicNow());
+        m_core.m_crashes.OnProbeStarted(aRequest, base::MonotonicNow());
         LogChange(aRequest, "tried");
       }
       done(may);
@@ -144,7 +144,7 @@
   }
   if (aRecord.m_removed) {
     m_core.m_crashes.OnRecordRemoved(*request);
-    m_keeper.OnThere(*request, std::nullopt);
+    m_keeper.OnRecordRead(*request, std::nullopt);
     LogChanges();
     return;
   }
@@ -154,17 +154,17 @@
     return;
   }
   m_core.m_crashes.OnRecord(*request, *read, base::MonotonicNow());
-  m_keeper.OnThere(*request, std::move(*read));
+  m_keeper.OnRecordRead(*request, std::move(*read));
   LogChanges();
 }
 
 void QuarantineFeed::OnSnapshot(const std::set<std::string>& aKeys)
 {
   m_core.m_crashesLoaded = true;
-  for (const quarantine::RequestKey& request : m_keeper.There()) {
+  for (const quarantine::RequestKey& request : m_keeper.RecordedRequests()) {
     if (!aKeys.contains(base::ToHex(request))) {
       m_core.m_crashes.OnRecordRemoved(request);
-      m_keeper.OnThere(request, std::nullopt);
+      m_keeper.OnRecordRead(request, std::nullopt);
     }
   }
   LogChanges();
--- a/src/ferrytray/relay/quarantine_feed_test.cpp
+++ b/src/ferrytray/relay/quarantine_feed_test.cpp
@@ -22,7 +22,7 @@
   /// As a host that starts.
   void Begin()
   {
-    m_core.m_crashes = quarantine::CrashBoard();
+    m_core.m_crashes = quarantine::CrashTracker();
     m_core.m_crashesLoaded = false;
     if (m_feed) {
       m_feed->Stop();
@@ -34,7 +34,8 @@
   }
   void Break(quarantine::EndpointKey aEndpoint)
   {
-    m_core.m_crashes.OnBroken(m_request, aEndpoint, base::MonotonicNow(), base::MonotonicNow());
+    m_core.m_crashes.OnConnectionBroken(
+      m_request, aEndpoint, base::MonotonicNow(), base::MonotonicNow());
     m_feed->OnOwn(m_request);
   }
 };
@@ -68,7 +69,7 @@
   Break(1);
   Break(2);
   Break(3);
-  m_core.m_crashes.OnAnswered(m_request);
+  m_core.m_crashes.OnCompleteAnswer(m_request);
   m_feed->OnOwn(m_request);
   Begin();
   CHECK_FALSE(m_core.m_crashes.Find(m_request).has_value());
@@ -108,12 +109,12 @@
   m_log.m_down = true;
   m_feed->ClaimTry(m_request, [&](bool aMay) { may = aMay; });
   CHECK(may == false);
-  CHECK(m_core.m_crashes.MayTry(m_request, later));
+  CHECK(m_core.m_crashes.MayProbe(m_request, later));
   m_log.m_down = false;
   m_feed->ClaimTry(m_request, [&](bool aMay) { may = aMay; });
   CHECK(may == true);
-  CHECK_FALSE(m_core.m_crashes.MayTry(m_request, later));
+  CHECK_FALSE(m_core.m_crashes.MayProbe(m_request, later));
   Begin();
   CHECK(m_core.m_crashes.IsQuarantined(m_request));
-  CHECK_FALSE(m_core.m_crashes.MayTry(m_request, later));
+  CHECK_FALSE(m_core.m_crashes.MayProbe(m_request, later));
 }
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -126,9 +126,10 @@
   m_quarantine.OnRank([this](const quarantine::RequestKey& aRequest) {
     constexpr std::size_t kFirst = 2;
     if (m_news.IsAmong(base::ToHex(aRequest), kFirst)) {
-      return quarantine::WriterRank::First;
+      return quarantine::WriterRole::Primary;
     }
-    return m_news.IsReader() ? quarantine::WriterRank::Reader : quarantine::WriterRank::Other;
+    return m_news.IsReader() ? quarantine::WriterRole::LogReader
+                             : quarantine::WriterRole::NonWriter;
   });
   m_core.m_claimTry = [this](const quarantine::RequestKey& aRequest,
                              std::function<void(bool)> aDone) {
--- a/tests/support/news_fixture.hpp
+++ b/tests/support/news_fixture.hpp
@@ -68,7 +68,7 @@
   cache::Stores m_stores;
   peers::LoadBoard m_others;
   peers::ReloadBoard m_reloads;
-  quarantine::CrashBoard m_crashes;
+  quarantine::CrashTracker m_crashes;
   peers::EndpointLoads m_own;
   bool m_direct = false;
   peers::NewsExchange m_news;
