--- a/include/ferrytray/limits/account_limiter.hpp
+++ b/include/ferrytray/limits/account_limiter.hpp
@@ -26,16 +26,20 @@
 /// a gate cut off from the others keeps.
 struct ShareOptions
 {
-  double m_floor = 0.05; ///< the least fraction of a limit that a gate keeps
-  double m_slack = 1.2;  ///< shares overlap a little so that a shift of traffic is not refused
+  double m_minShare = 0.05; ///< the least fraction of a limit that a gate keeps
+  double m_overlapFactor =
+    1.2; ///< shares overlap a little so that a shift of traffic is not refused
 };
 
 /// @brief Computes a gate's fraction of an account's limit.
-/// @param aOwn requests seen here in the last window
-/// @param aAll requests seen by all gates heard of, this one included
-/// @param aGates gates heard of, this one included
+/// @param aOwnDemand requests seen here in the last window
+/// @param aTotalDemand requests seen by all gates heard of, this one included
+/// @param aGateCount gates heard of, this one included
 /// @return a fraction from the floor to 1
-double ShareOf(double aOwn, double aAll, std::uint32_t aGates, const ShareOptions& aOptions);
+double ComputeShare(double aOwnDemand,
+                    double aTotalDemand,
+                    std::uint32_t aGateCount,
+                    const ShareOptions& aOptions);
 
 /// @brief Rate and concurrency per client account at one gate.
 class AccountLimiter
--- a/include/ferrytray/limits/admission.hpp
+++ b/include/ferrytray/limits/admission.hpp
@@ -8,16 +8,16 @@
 namespace ferrytray::limits {
 
 /// @brief What admission knows of a request and of the fleet.
-struct AdmissionView
+struct AdmissionEstimate
 {
   base::TimePoint m_arrival;
   std::optional<base::TimePoint> m_deadline; ///< when the first token is no use any more
   base::Duration m_expectedFirstToken{};     ///< the best candidate's estimate from now
-  base::Duration m_expectedDrain{};          ///< until the queue ahead has gone
+  base::Duration m_expectedQueueTime{};      ///< until the queue ahead has gone
 };
 
 /// @brief Refuses at once what cannot be answered in time, and says when to come back.
 /// @return DeadlineUnreachable with m_retryAfter, run state NotRun
-base::Result<void> CheckDeadline(const AdmissionView& aView, base::TimePoint aNow);
+base::Result<void> CheckDeadline(const AdmissionEstimate& aView, base::TimePoint aNow);
 
 } // namespace ferrytray::limits
--- a/include/ferrytray/limits/retry_budget.hpp
+++ b/include/ferrytray/limits/retry_budget.hpp
@@ -9,11 +9,11 @@
 namespace ferrytray::limits {
 
 /// @brief Options of the retry budget.
-struct RetryOptions
+struct RetryBudgetOptions
 {
-  double m_perSuccess = 0.1;       ///< retries earned by a success
-  double m_reserve = 10;           ///< the most that can be saved up
-  std::uint32_t m_maxAttempts = 3; ///< attempts of one request, the first included
+  double m_retriesPerSuccess = 0.1; ///< retries earned by a success
+  double m_maxBalance = 10;         ///< the most that can be saved up
+  std::uint32_t m_maxAttempts = 3;  ///< attempts of one request, the first included
 };
 
 /// @brief What is known of a request whose attempt has failed.
@@ -21,9 +21,9 @@
 {
   base::RunState m_run = base::RunState::Unknown;
   bool m_idempotent = false;
-  std::uint32_t m_attempts = 1; ///< attempts made so far
-  base::TimePoint m_deadline;   ///< when the caller stops waiting
-  base::Duration m_expected{};  ///< the time that another attempt needs
+  std::uint32_t m_attempts = 1;        ///< attempts made so far
+  base::TimePoint m_deadline;          ///< when the caller stops waiting
+  base::Duration m_expectedDuration{}; ///< the time that another attempt needs
 };
 
 /// @brief Decides whether a failed attempt may be tried again.
@@ -32,32 +32,35 @@
 class RetryBudget
 {
 public:
-  explicit RetryBudget(RetryOptions aOptions = {})
+  explicit RetryBudget(RetryBudgetOptions aOptions = {})
     : m_options(aOptions)
-    , m_saved(aOptions.m_reserve)
+    , m_balance(aOptions.m_maxBalance)
   {
   }
 
-  void OnSuccess() { m_saved = std::min(m_options.m_reserve, m_saved + m_options.m_perSuccess); }
+  void OnSuccess()
+  {
+    m_balance = std::min(m_options.m_maxBalance, m_balance + m_options.m_retriesPerSuccess);
+  }
 
   /// @brief Spends one retry if every rule allows it.
   bool TryRetry(const FailedAttempt& aFailed, base::TimePoint aNow)
   {
-    const bool safe = aFailed.m_idempotent || aFailed.m_run == base::RunState::NotRun;
-    const bool inTime = aNow + aFailed.m_expected < aFailed.m_deadline;
-    const bool more = aFailed.m_attempts < m_options.m_maxAttempts;
-    if (!safe || !inTime || !more || m_saved < 1.0) {
+    const bool repeatable = aFailed.m_idempotent || aFailed.m_run == base::RunState::NotRun;
+    const bool inTime = aNow + aFailed.m_expectedDuration < aFailed.m_deadline;
+    const bool attemptsLeft = aFailed.m_attempts < m_options.m_maxAttempts;
+    if (!repeatable || !inTime || !attemptsLeft || m_balance < 1.0) {
       return false;
     }
-    m_saved -= 1.0;
+    m_balance -= 1.0;
     return true;
   }
 
-  [[nodiscard]] double Saved() const { return m_saved; }
+  [[nodiscard]] double Balance() const { return m_balance; }
 
 private:
-  RetryOptions m_options;
-  double m_saved;
+  RetryBudgetOptions m_options;
+  double m_balance;
 };
 
 } // namespace ferrytray::limits
--- a/include/ferrytray/limits/token_bucket.hpp
+++ b/include/ferrytray/limits/token_bucket.hpp
@@ -15,8 +15,8 @@
   TokenBucket(double aRate, double aBurst, base::TimePoint aNow)
     : m_rate(aRate)
     , m_burst(aBurst)
-    , m_level(aBurst)
-    , m_at(aNow)
+    , m_tokens(aBurst)
+    , m_refilledAt(aNow)
   {
   }
 
@@ -24,10 +24,10 @@
   bool TryTake(base::TimePoint aNow)
   {
     Refill(aNow);
-    if (m_level < 1.0) {
+    if (m_tokens < 1.0) {
       return false;
     }
-    m_level -= 1.0;
+    m_tokens -= 1.0;
     return true;
   }
 
@@ -35,10 +35,10 @@
   [[nodiscard]] base::Duration WaitForToken(base::TimePoint aNow)
   {
     Refill(aNow);
-    if (m_level >= 1.0) {
+    if (m_tokens >= 1.0) {
       return base::Duration::zero();
     }
-    return base::FromSeconds((1.0 - m_level) / m_rate);
+    return base::FromSeconds((1.0 - m_tokens) / m_rate);
   }
 
   /// @brief Changes the rate from now on.
@@ -47,21 +47,21 @@
     Refill(aNow);
     m_rate = aRate;
     m_burst = aBurst;
-    m_level = std::min(m_level, aBurst);
+    m_tokens = std::min(m_tokens, aBurst);
   }
 
 private:
   void Refill(base::TimePoint aNow)
   {
-    const base::Duration passed = std::max(aNow - m_at, base::Duration::zero());
-    m_level = std::min(m_burst, m_level + base::Seconds(passed) * m_rate);
-    m_at = std::max(m_at, aNow);
+    const base::Duration elapsed = std::max(aNow - m_refilledAt, base::Duration::zero());
+    m_tokens = std::min(m_burst, m_tokens + base::Seconds(elapsed) * m_rate);
+    m_refilledAt = std::max(m_refilledAt, aNow);
   }
 
   double m_rate;
   double m_burst;
-  double m_level;
-  base::TimePoint m_at;
+  double m_tokens;
+  base::TimePoint m_refilledAt;
 };
 
 } // namespace ferrytray::limits
--- a/src/ferrytray/gate/model_exchange.cpp
+++ b/src/ferrytray/gate/model_exchange.cpp
@@ -203,7 +203,7 @@
   }
   const base::Duration drain = m_services.m_queues.ExpectedDrain(m_call.m_fleet.m_name, aWorkers);
   const base::Duration held = m_wasHeld ? base::Duration::zero() : drain;
-  const limits::AdmissionView view{
+  const limits::AdmissionEstimate view{
     m_call.m_arrival, m_deadline, aPlan.m_firstToken + held, drain
   };
   const auto verdict = limits::CheckDeadline(view, base::MonotonicNow());
--- a/src/ferrytray/keeper/share_board.cpp
+++ b/src/ferrytray/keeper/share_board.cpp
@@ -55,11 +55,11 @@
     }
   }
   wire::ShareUpdate update;
-  update.m_default = limits::ShareOf(0, 0, aGates, options);
+  update.m_default = limits::ComputeShare(0, 0, aGates, options);
   for (const auto& [account, all] : total) {
     const auto own = m_own.find(account);
     const double mine = own == m_own.end() ? 0 : own->second;
-    update.m_shares.emplace_back(account, limits::ShareOf(mine, all, aGates, options));
+    update.m_shares.emplace_back(account, limits::ComputeShare(mine, all, aGates, options));
   }
   return update;
 }
--- a/src/ferrytray/limits/account_limiter.cpp
+++ b/src/ferrytray/limits/account_limiter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr base::Duration kConcurrencyRetry = std::chrono::seconds(1);
+constexpr base::Duration kConcurrencyRetryAfter = std::chrono::seconds(1);
 
 base::Result<void> Refuse(base::ErrorCode aCode, std::string aMessage, base::Duration aRetryAfter)
 {
@@ -17,14 +17,17 @@
 
 } // namespace
 
-double ShareOf(double aOwn, double aAll, std::uint32_t aGates, const ShareOptions& aOptions)
+double ComputeShare(double aOwnDemand,
+                    double aTotalDemand,
+                    std::uint32_t aGateCount,
+                    const ShareOptions& aOptions)
 {
-  if (aGates <= 1) {
+  if (aGateCount <= 1) {
     return 1.0;
   }
-  const double even = 1.0 / aGates;
-  const double seen = aAll > 0 ? aOwn / aAll : even;
-  return std::clamp(seen * aOptions.m_slack, aOptions.m_floor, 1.0);
+  const double equalShare = 1.0 / aGateCount;
+  const double demandShare = aTotalDemand > 0 ? aOwnDemand / aTotalDemand : equalShare;
+  return std::clamp(demandShare * aOptions.m_overlapFactor, aOptions.m_minShare, 1.0);
 }
 
 void AccountLimiter::SetLimit(const std::string& aAccount,
@@ -74,7 +77,7 @@
   if (state.m_concurrent >= allowed) {
     return Refuse(base::ErrorCode::ConcurrencyLimited,
                   "client account has " + std::to_string(state.m_concurrent) + " requests open",
-                  kConcurrencyRetry);
+                  kConcurrencyRetryAfter);
   }
   if (!state.m_bucket.TryTake(aNow)) {
     return Refuse(base::ErrorCode::RateLimited,
--- a/src/ferrytray/limits/account_limiter_test.cpp
+++ b/src/ferrytray/limits/account_limiter_test.cpp
@@ -9,7 +9,7 @@
 
 const base::TimePoint kStart{ 1000s };
 
-int AdmittedOf(limits::AccountLimiter& aLimiter, int aTries, base::TimePoint aNow)
+int CountAdmitted(limits::AccountLimiter& aLimiter, int aTries, base::TimePoint aNow)
 {
   int admitted = 0;
   for (int i = 0; i < aTries; ++i) {
@@ -25,10 +25,10 @@
   limits::AccountLimiter m_limiter;
 };
 
-TEST(AccountLimiter, RefusesOverTheRateAndSaysWhenToComeBack)
+TEST(AccountLimiter, RefusesAboveTheRateAndReturnsRetryAfter)
 {
   m_limiter.SetLimit("lab", { 2, 4, 100 }, kStart);
-  LONGS_EQUAL(4, AdmittedOf(m_limiter, 10, kStart));
+  LONGS_EQUAL(4, CountAdmitted(m_limiter, 10, kStart));
   const auto refused = m_limiter.Admit("lab", kStart);
   CHECK(refused.error().m_code == base::ErrorCode::RateLimited);
   CHECK(refused.error().m_run == base::RunState::NotRun);
@@ -36,44 +36,44 @@
   CHECK(m_limiter.Admit("lab", kStart + 500ms).has_value());
 }
 
-TEST(AccountLimiter, CountsOpenRequests)
+TEST(AccountLimiter, LimitsConcurrentRequests)
 {
   m_limiter.SetLimit("lab", { 100, 100, 3 }, kStart);
-  LONGS_EQUAL(3, AdmittedOf(m_limiter, 5, kStart));
+  LONGS_EQUAL(3, CountAdmitted(m_limiter, 5, kStart));
   CHECK(m_limiter.Admit("lab", kStart).error().m_code == base::ErrorCode::ConcurrencyLimited);
   m_limiter.Release("lab");
-  LONGS_EQUAL(1, AdmittedOf(m_limiter, 5, kStart));
+  LONGS_EQUAL(1, CountAdmitted(m_limiter, 5, kStart));
 }
 
-TEST(AccountLimiter, AShareScalesBothLimits)
+TEST(AccountLimiter, ShareScalesRateAndConcurrency)
 {
   m_limiter.SetLimit("lab", { 10, 20, 10 }, kStart);
   m_limiter.SetShare("lab", 0.2, kStart);
-  LONGS_EQUAL(2, AdmittedOf(m_limiter, 10, kStart));
+  LONGS_EQUAL(2, CountAdmitted(m_limiter, 10, kStart));
 }
 
-TEST(AccountLimiter, AnotherAccountIsNotTouched)
+TEST(AccountLimiter, LimitsAccountsIndependently)
 {
   m_limiter.SetLimit("lab", { 1, 1, 100 }, kStart);
   m_limiter.SetLimit("bench", { 1, 1, 100 }, kStart);
-  LONGS_EQUAL(1, AdmittedOf(m_limiter, 5, kStart));
+  LONGS_EQUAL(1, CountAdmitted(m_limiter, 5, kStart));
   CHECK(m_limiter.Admit("bench", kStart).has_value());
 }
 
-TEST(AccountLimiter, SharesOfAllGatesStayNearTheLimit)
+TEST(AccountLimiter, SharesOfAllGatesSumToAboutTheLimit)
 {
   const limits::ShareOptions options;
-  const double seen[] = { 70, 20, 10, 0 };
+  const double demandShare[] = { 70, 20, 10, 0 };
   double sum = 0;
-  for (const double own : seen) {
-    sum += limits::ShareOf(own, 100, 4, options);
+  for (const double own : demandShare) {
+    sum += limits::ComputeShare(own, 100, 4, options);
   }
   CHECK(sum >= 1.0);
-  CHECK(sum <= options.m_slack + 4 * options.m_floor);
+  CHECK(sum <= options.m_overlapFactor + 4 * options.m_minShare);
 }
 
-TEST(AccountLimiter, ACutOffGateKeepsTheFloor)
+TEST(AccountLimiter, PartitionedGateKeepsTheMinimumShare)
 {
-  DOUBLES_EQUAL(0.05, limits::ShareOf(0, 1000, 8, {}), 1e-9);
-  DOUBLES_EQUAL(1.0, limits::ShareOf(5, 5, 1, {}), 1e-9);
+  DOUBLES_EQUAL(0.05, limits::ComputeShare(0, 1000, 8, {}), 1e-9);
+  DOUBLES_EQUAL(1.0, limits::ComputeShare(5, 5, 1, {}), 1e-9);
 }
--- a/src/ferrytray/limits/admission.cpp
+++ b/src/ferrytray/limits/admission.cpp
@@ -4,7 +4,7 @@
 
 namespace ferrytray::limits {
 
-base::Result<void> CheckDeadline(const AdmissionView& aView, base::TimePoint aNow)
+base::Result<void> CheckDeadline(const AdmissionEstimate& aView, base::TimePoint aNow)
 {
   if (!aView.m_deadline) {
     return {};
@@ -13,9 +13,9 @@
   if (expected <= *aView.m_deadline) {
     return {};
   }
-  constexpr base::Duration kLeastRetry = std::chrono::milliseconds(100);
+  constexpr base::Duration kMinRetryAfter = std::chrono::milliseconds(100);
   const base::Duration late = expected - *aView.m_deadline;
-  const base::Duration retryAfter = std::max({ late, aView.m_expectedDrain, kLeastRetry });
+  const base::Duration retryAfter = std::max({ late, aView.m_expectedQueueTime, kMinRetryAfter });
   return tl::unexpected(base::Failure{ base::ErrorCode::DeadlineUnreachable,
                                        "the deadline cannot be met",
                                        base::RunState::NotRun,
--- a/src/ferrytray/limits/admission_limit_test.cpp
+++ b/src/ferrytray/limits/admission_limit_test.cpp
@@ -14,15 +14,15 @@
 constexpr base::Duration kTarget = 400ms;
 
 /// Endpoints that work on so many requests at once and keep the others waiting in line.
-struct Line
+struct EndpointPool
 {
   std::size_t m_slots;
-  base::Duration m_work = 200ms;
+  base::Duration m_serviceTime = 200ms;
   std::deque<std::pair<std::uint64_t, base::TimePoint>> m_waiting;  ///< number, arrival
   std::vector<std::pair<std::uint64_t, base::TimePoint>> m_running; ///< number, end
 };
 
-struct Tally
+struct Outcome
 {
   int m_onTime = 0;
   int m_late = 0;
@@ -30,38 +30,41 @@
 };
 
 /// One request every aGap for aSpan.
-Tally Drive(limits::AdmissionLimit& aLimit, Line& aLine, base::Duration aGap, base::Duration aSpan)
+Outcome SimulateLoad(limits::AdmissionLimit& aLimit,
+                     EndpointPool& aPool,
+                     base::Duration aGap,
+                     base::Duration aSpan)
 {
-  Tally tally;
+  Outcome outcome;
   base::Duration next{};
   for (base::Duration t{}; t < aSpan; t += 1ms) {
     const base::TimePoint now = kStart + t;
-    std::erase_if(aLine.m_running, [&](const auto& aPair) {
+    std::erase_if(aPool.m_running, [&](const auto& aPair) {
       const bool done = aPair.second <= now;
       if (done) {
         aLimit.OnEnded(aPair.first);
       }
       return done;
     });
-    while (!aLine.m_waiting.empty() && aLine.m_running.size() < aLine.m_slots) {
-      const auto [number, arrival] = aLine.m_waiting.front();
-      aLine.m_waiting.pop_front();
-      aLimit.OnAnswering(number, now);
-      ++(now - arrival <= kTarget ? tally.m_onTime : tally.m_late);
-      aLine.m_running.emplace_back(number, now + aLine.m_work);
+    while (!aPool.m_waiting.empty() && aPool.m_running.size() < aPool.m_slots) {
+      const auto [id, arrival] = aPool.m_waiting.front();
+      aPool.m_waiting.pop_front();
+      aLimit.OnAnswerStarted(id, now);
+      ++(now - arrival <= kTarget ? outcome.m_onTime : outcome.m_late);
+      aPool.m_running.emplace_back(id, now + aPool.m_serviceTime);
     }
     if (t < next) {
       continue;
     }
     next += aGap;
-    const auto number = aLimit.Admit(kTarget, now);
-    if (number) {
-      aLine.m_waiting.emplace_back(*number, now);
+    const auto id = aLimit.Admit(kTarget, now);
+    if (id) {
+      aPool.m_waiting.emplace_back(*id, now);
     } else {
-      ++tally.m_refused;
+      ++outcome.m_refused;
     }
   }
-  return tally;
+  return outcome;
 }
 
 } // namespace
@@ -71,57 +74,59 @@
   limits::AdmissionLimit m_limit;
 };
 
-TEST(AdmissionLimit, WithEnoughEndpointsNobodyIsRefused)
+TEST(AdmissionLimit, AdmitsEverythingWithinCapacity)
 {
-  Line line{ 10, 200ms, {}, {} };
-  const Tally tally = Drive(m_limit, line, 25ms, 20s); // 8 of 10 slots
-  LONGS_EQUAL(0, tally.m_refused);
-  LONGS_EQUAL(0, tally.m_late);
+  EndpointPool pool{ 10, 200ms, {}, {} };
+  const Outcome outcome = SimulateLoad(m_limit, pool, 25ms, 20s); // 8 of 10 slots
+  LONGS_EQUAL(0, outcome.m_refused);
+  LONGS_EQUAL(0, outcome.m_late);
   CHECK_FALSE(m_limit.Limit().has_value());
 }
 
-TEST(AdmissionLimit, WithTooFewEndpointsThoseWhoAreAdmittedAreOnTime)
+TEST(AdmissionLimit, EarlyReactionKeepsMostAdmittedRequestsOnTimeUnderOverload)
 {
   // Acts early: well before targets are missed.
-  limits::AdmissionLimit early(
-    { .m_slowPart = 0.6, .m_slowShare = 0.3, .m_lower = 0.85, .m_raise = 1.04 });
-  Line line{ 10, 200ms, {}, {} };
-  const Tally tally = Drive(early, line, 14ms, 20s); // 14 of 10 slots
-  const int answered = tally.m_onTime + tally.m_late;
-  CHECK(tally.m_onTime > answered * 9 / 10);
+  limits::AdmissionLimit reactive({ .m_slowTargetFraction = 0.6,
+                                    .m_maxSlowFraction = 0.3,
+                                    .m_decreaseFactor = 0.85,
+                                    .m_increaseFactor = 1.04 });
+  EndpointPool pool{ 10, 200ms, {}, {} };
+  const Outcome outcome = SimulateLoad(reactive, pool, 14ms, 20s); // 14 of 10 slots
+  const int answered = outcome.m_onTime + outcome.m_late;
+  CHECK(outcome.m_onTime > answered * 9 / 10);
   CHECK(answered > 800); // of 1,000 that could run
-  CHECK(tally.m_refused > 300);
+  CHECK(outcome.m_refused > 300);
 }
 
-TEST(AdmissionLimit, ByDefaultItActsLaterAndStillKeepsMostOnTime)
+TEST(AdmissionLimit, DefaultOptionsKeepMostAdmittedRequestsOnTimeUnderOverload)
 {
-  Line line{ 10, 200ms, {}, {} };
-  const Tally tally = Drive(m_limit, line, 14ms, 20s);
-  const int answered = tally.m_onTime + tally.m_late;
-  CHECK(tally.m_onTime > answered * 6 / 10);
+  EndpointPool pool{ 10, 200ms, {}, {} };
+  const Outcome outcome = SimulateLoad(m_limit, pool, 14ms, 20s);
+  const int answered = outcome.m_onTime + outcome.m_late;
+  CHECK(outcome.m_onTime > answered * 6 / 10);
   CHECK(answered > 900);
-  CHECK(tally.m_refused > 300);
+  CHECK(outcome.m_refused > 300);
 }
 
-TEST(AdmissionLimit, WithoutItNearlyAllWouldBeLate)
+TEST(AdmissionLimit, MostRequestsAreLateUnderOverloadWithoutALimit)
 {
-  limits::AdmissionLimit never({ .m_slowShare = 2.0 });
-  Line line{ 10, 200ms, {}, {} };
-  const Tally tally = Drive(never, line, 14ms, 20s);
-  CHECK(tally.m_late > tally.m_onTime * 5);
+  limits::AdmissionLimit unlimited({ .m_maxSlowFraction = 2.0 });
+  EndpointPool pool{ 10, 200ms, {}, {} };
+  const Outcome outcome = SimulateLoad(unlimited, pool, 14ms, 20s);
+  CHECK(outcome.m_late > outcome.m_onTime * 5);
 }
 
-TEST(AdmissionLimit, WhenTheShortageIsOverTheLimitGoes)
+TEST(AdmissionLimit, RemovesTheLimitWhenCapacityReturns)
 {
-  Line line{ 10, 200ms, {}, {} };
-  Drive(m_limit, line, 14ms, 5s);
+  EndpointPool pool{ 10, 200ms, {}, {} };
+  SimulateLoad(m_limit, pool, 14ms, 5s);
   CHECK(m_limit.Limit().has_value());
-  line.m_slots = 40;
-  const Tally tally = Drive(m_limit, line, 25ms, 20s);
-  CHECK(tally.m_refused < 20);
+  pool.m_slots = 40;
+  const Outcome outcome = SimulateLoad(m_limit, pool, 25ms, 20s);
+  CHECK(outcome.m_refused < 20);
 }
 
-TEST(AdmissionLimit, AFewSlowOnesSayNothing)
+TEST(AdmissionLimit, IgnoresWindowsWithTooFewSamples)
 {
   for (int i = 0; i < 3; ++i) {
     CHECK(m_limit.Admit(kTarget, kStart).has_value());
--- a/src/ferrytray/limits/fair_queue_test.cpp
+++ b/src/ferrytray/limits/fair_queue_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(FairQueue){};
 
-TEST(FairQueue, ALargeAccountDoesNotStarveASmallOne)
+TEST(FairQueue, LargeAccountDoesNotStarveSmallAccount)
 {
   limits::FairQueue queue(1000);
   for (std::uint64_t id = 0; id < 100; ++id) {
@@ -23,7 +23,7 @@
   CHECK(second->m_id == 1000 || third->m_id == 1000);
 }
 
-TEST(FairQueue, LongWorkWaitsForShortWork)
+TEST(FairQueue, CheapRequestsOvertakeExpensiveOnes)
 {
   limits::FairQueue queue(1000);
   for (std::uint64_t id = 0; id < 5; ++id) {
@@ -49,7 +49,7 @@
   CHECK(queue.Push("a", 1, { 2, 1 }));
 }
 
-TEST(FairQueue, WeightsAreKeptWithinOneRequest)
+TEST(FairQueue, ServesWeightedSharesWithinOneRequest)
 {
   const bool holds = rc::check("weighted shares", [] {
     const double weight = *rc::gen::inRange(1, 8);
--- a/src/ferrytray/limits/retry_budget_test.cpp
+++ b/src/ferrytray/limits/retry_budget_test.cpp
@@ -23,22 +23,22 @@
   limits::RetryBudget m_budget;
 };
 
-TEST(RetryBudget, NeverRepeatsNonIdempotentWorkThatMayHaveRun)
+TEST(RetryBudget, NeverRetriesNonIdempotentRequestsThatMayHaveRun)
 {
   CHECK_FALSE(m_budget.TryRetry(Failed(base::RunState::Unknown, false), kNow));
   CHECK(m_budget.TryRetry(Failed(base::RunState::NotRun, false), kNow));
   CHECK(m_budget.TryRetry(Failed(base::RunState::Unknown, true), kNow));
 }
 
-TEST(RetryBudget, StopsAtTheDeadlineAndAtTheAttemptCap)
+TEST(RetryBudget, StopsAtTheDeadlineAndAtTheMaximumAttempts)
 {
   CHECK_FALSE(m_budget.TryRetry(Failed(base::RunState::NotRun, true), kNow + 9s));
-  auto tired = Failed(base::RunState::NotRun, true);
-  tired.m_attempts = 3;
-  CHECK_FALSE(m_budget.TryRetry(tired, kNow));
+  auto exhausted = Failed(base::RunState::NotRun, true);
+  exhausted.m_attempts = 3;
+  CHECK_FALSE(m_budget.TryRetry(exhausted, kNow));
 }
 
-TEST(RetryBudget, IsSpentAndEarnedBySuccesses)
+TEST(RetryBudget, RetriesSpendTheBudgetAndSuccessesRefillIt)
 {
   int spent = 0;
   while (m_budget.TryRetry(Failed(base::RunState::NotRun, true), kNow)) {
@@ -52,14 +52,14 @@
   CHECK_FALSE(m_budget.TryRetry(Failed(base::RunState::NotRun, true), kNow));
 }
 
-TEST(RetryBudget, AnUnreachableDeadlineIsRefusedAtOnceWithAdvice)
+TEST(RetryBudget, RefusesAnUnreachableDeadlineWithRetryAfter)
 {
-  const limits::AdmissionView late{ kNow, kNow + 1s, 3s, 5s };
+  const limits::AdmissionEstimate late{ kNow, kNow + 1s, 3s, 5s };
   const auto refused = limits::CheckDeadline(late, kNow);
   CHECK(refused.error().m_code == base::ErrorCode::DeadlineUnreachable);
   CHECK(refused.error().m_run == base::RunState::NotRun);
   CHECK(refused.error().m_retryAfter == 5s);
-  const limits::AdmissionView inTime{ kNow, kNow + 4s, 3s, 5s };
+  const limits::AdmissionEstimate inTime{ kNow, kNow + 4s, 3s, 5s };
   CHECK(limits::CheckDeadline(inTime, kNow).has_value());
   CHECK(limits::CheckDeadline({ kNow, std::nullopt, 3s, 5s }, kNow).has_value());
 }
--- a/src/ferrytray/limits/retry_window.cpp
+++ b/src/ferrytray/limits/retry_window.cpp
@@ -2,7 +2,7 @@
 
 namespace ferrytray::limits {
 
-std::int64_t RetryWindow::NumberAt(base::TimePoint aNow) const
+std::int64_t RetryWindow::SlotNumberAt(base::TimePoint aNow) const
 {
   const base::Duration slot = m_options.m_window / static_cast<std::int64_t>(kSlots);
   return aNow.time_since_epoch() / slot;
@@ -10,9 +10,9 @@
 
 RetryWindow::Slot& RetryWindow::SlotAt(Slots& aSlots, base::TimePoint aNow) const
 {
-  const std::int64_t number = NumberAt(aNow);
+  const std::int64_t number = SlotNumberAt(aNow);
   Slot& slot = aSlots[static_cast<std::size_t>(number) % kSlots];
-  if (slot.m_number != number) {
+  if (slot.m_slotNumber != number) {
     slot = { number, 0, 0 };
   }
   return slot;
@@ -20,26 +20,27 @@
 
 void RetryWindow::OnFirstSend(const std::string& aService, base::TimePoint aNow)
 {
-  SlotAt(m_services[aService], aNow).m_first += 1;
+  SlotAt(m_services[aService], aNow).m_firstSends += 1;
 }
 
-bool RetryWindow::TryRepeat(const std::string& aService, base::TimePoint aNow)
+bool RetryWindow::TryRetry(const std::string& aService, base::TimePoint aNow)
 {
   Slots& slots = m_services[aService];
   Slot& current = SlotAt(slots, aNow);
-  double first = 0;
-  double repeats = 0;
+  double firstSends = 0;
+  double retries = 0;
   for (const Slot& slot : slots) {
-    if (slot.m_number > current.m_number - static_cast<std::int64_t>(kSlots)) {
-      first += slot.m_first;
-      repeats += slot.m_repeats;
+    if (slot.m_slotNumber > current.m_slotNumber - static_cast<std::int64_t>(kSlots)) {
+      firstSends += slot.m_firstSends;
+      retries += slot.m_retries;
     }
   }
-  const double allowed = m_options.m_reserve + m_options.m_ratio * m_options.m_spend * first;
-  if (repeats + 1 > allowed) {
+  const double allowed =
+    m_options.m_minRetries + m_options.m_ratio * m_options.m_hostRatioFraction * firstSends;
+  if (retries + 1 > allowed) {
     return false;
   }
-  current.m_repeats += 1;
+  current.m_retries += 1;
   return true;
 }
 
--- a/src/ferrytray/limits/retry_window_test.cpp
+++ b/src/ferrytray/limits/retry_window_test.cpp
@@ -18,53 +18,53 @@
 
 TEST_GROUP(RetryWindow){};
 
-TEST(RetryWindow, RepeatsAreAFractionOfFirstSends)
+TEST(RetryWindow, AllowsRetriesUpToTheRatioOfFirstSends)
 {
-  limits::RetryWindow window({ .m_ratio = 0.2, .m_spend = 1.0, .m_reserve = 0 });
+  limits::RetryWindow window({ .m_ratio = 0.2, .m_hostRatioFraction = 1.0, .m_minRetries = 0 });
   for (int i = 0; i < 10; ++i) {
     window.OnFirstSend("s", kStart);
   }
-  CHECK(window.TryRepeat("s", kStart));
-  CHECK(window.TryRepeat("s", kStart));
-  CHECK_FALSE(window.TryRepeat("s", kStart));
+  CHECK(window.TryRetry("s", kStart));
+  CHECK(window.TryRetry("s", kStart));
+  CHECK_FALSE(window.TryRetry("s", kStart));
 }
 
-TEST(RetryWindow, AServiceDoesNotSpendAnothersBudget)
+TEST(RetryWindow, CountsServicesSeparately)
 {
-  limits::RetryWindow window({ .m_ratio = 1.0, .m_spend = 1.0, .m_reserve = 0 });
+  limits::RetryWindow window({ .m_ratio = 1.0, .m_hostRatioFraction = 1.0, .m_minRetries = 0 });
   window.OnFirstSend("a", kStart);
-  CHECK_FALSE(window.TryRepeat("b", kStart));
+  CHECK_FALSE(window.TryRetry("b", kStart));
 }
 
-TEST(RetryWindow, FirstSendsOlderThanTheWindowEarnNothing)
+TEST(RetryWindow, IgnoresFirstSendsOlderThanTheWindow)
 {
-  limits::RetryWindow window({ .m_ratio = 1.0, .m_spend = 1.0, .m_reserve = 0 });
+  limits::RetryWindow window({ .m_ratio = 1.0, .m_hostRatioFraction = 1.0, .m_minRetries = 0 });
   window.OnFirstSend("s", kStart);
-  CHECK_FALSE(window.TryRepeat("s", kStart + 10s));
+  CHECK_FALSE(window.TryRetry("s", kStart + 10s));
 }
 
-TEST(RetryWindow, NoSpanOfAWindowHoldsMoreRepeatsThanTwoWindowsOfFirstSendsAllow)
+TEST(RetryWindow, NineSlotsNeverHoldMoreRetriesThanTheWindowAllows)
 {
   const bool held = rc::check([] {
-    limits::RetryWindow window({ .m_ratio = 0.2, .m_spend = 1.0, .m_reserve = 1.0 });
+    limits::RetryWindow window({ .m_ratio = 0.2, .m_hostRatioFraction = 1.0, .m_minRetries = 1.0 });
     const auto gaps = *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 300));
-    std::vector<base::TimePoint> first;
-    std::vector<base::TimePoint> repeats;
+    std::vector<base::TimePoint> firstSends;
+    std::vector<base::TimePoint> retries;
     base::TimePoint now = kStart;
     for (const int gap : gaps) {
       now += std::chrono::milliseconds(gap);
       window.OnFirstSend("s", now);
-      first.push_back(now);
-      if (window.TryRepeat("s", now)) {
-        repeats.push_back(now);
+      firstSends.push_back(now);
+      if (window.TryRetry("s", now)) {
+        retries.push_back(now);
       }
       const auto within = [now](const std::vector<base::TimePoint>& aTimes, base::Duration aSpan) {
         return std::count_if(
           aTimes.begin(), aTimes.end(), [&](base::TimePoint aTime) { return aTime > now - aSpan; });
       };
       // Slots are a tenth of the window, so a repeat is counted for nine tenths at least.
-      RC_ASSERT(static_cast<double>(within(repeats, 9s)) <=
-                1.0 + 0.2 * static_cast<double>(within(first, 10s)) + 1e-9);
+      RC_ASSERT(static_cast<double>(within(retries, 9s)) <=
+                1.0 + 0.2 * static_cast<double>(within(firstSends, 10s)) + 1e-9);
     }
   });
   CHECK(held);
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -202,7 +202,7 @@
     m_reply->Write(rest);
     m_reply->Finish();
   } else {
-    m_core.m_admission[m_service].OnAnswering(*m_admission, base::MonotonicNow());
+    m_core.m_admission[m_service].OnAnswerStarted(*m_admission, base::MonotonicNow());
     if (m_core.m_leaving) {
       m_reply->CloseAfter();
     }
@@ -253,7 +253,7 @@
   const bool arrived = aEnd != AttemptEnd::NotSent;
   const bool tryAgain = MayTryAgain(facts, m_core.m_options.m_attempts) &&
                         !m_core.m_crashes.IsQuarantined(m_key) &&
-                        (!arrived || m_core.m_retries.TryRepeat(m_service, now));
+                        (!arrived || m_core.m_retries.TryRetry(m_service, now));
   telemetry::LogLine("attempt_failed")
     .Add("request", m_request.m_id)
     .Add("request_key", base::ToHex(m_key))
--- a/src/ferrytray/relay/exchange_admission_test.cpp
+++ b/src/ferrytray/relay/exchange_admission_test.cpp
@@ -17,7 +17,7 @@
 // not use up the budget, nor be refused when it is spent.
 TEST(ExchangeAdmission, WhatReachedNobodyIsSentElsewhereThoughTheBudgetOfRepeatsIsSpent)
 {
-  while (m_core.m_retries.TryRepeat("s", base::MonotonicNow())) {
+  while (m_core.m_retries.TryRetry("s", base::MonotonicNow())) {
   }
   const auto reply = Ask("/once/x");
   m_client.End(WireEnd::NotSent);
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -93,7 +93,7 @@
     if (m_assigned.m_free && m_sends == 1 && m_attempt->m_endpoint == m_assigned.m_engine) {
       m_core.m_dispatcher->OnBegan(m_assigned.m_readTokens, *m_beganAt - m_attempt->m_sentAt);
     }
-    m_core.m_admission[m_service].OnAnswering(*m_admission, base::MonotonicNow());
+    m_core.m_admission[m_service].OnAnswerStarted(*m_admission, base::MonotonicNow());
     if (m_core.m_leaving) {
       m_reply->CloseAfter();
     }
