--- a/include/ferrytray/limits/account_limiter.hpp
+++ b/include/ferrytray/limits/account_limiter.hpp
@@ -10,7 +10,7 @@
 
 namespace ferrytray::limits {
 
-/// @brief What one client account may use, over all gates together.
+/// @brief Limits of one client account, over all gates together.
 struct AccountLimit
 {
   double m_requestsPerSecond = 10;
@@ -19,49 +19,49 @@
   auto operator<=>(const AccountLimit&) const = default;
 };
 
-/// @brief The part of an account's limits that this gate may give out.
+/// @brief Options for dividing an account's limits between gates.
 ///
-/// Gates share a limit without a coordinator: each tells how much of the account's traffic it
-/// saw, and takes that fraction. A floor lets a gate that has seen none begin, and is all that
-/// a gate cut off from the others keeps.
+/// Gates share a limit without a coordinator: each reports how much of the account's traffic it
+/// received and enforces that fraction of the limit. The minimum share lets a gate without recent
+/// traffic admit requests, and is all that a partitioned gate keeps.
 struct ShareOptions
 {
-  double m_minShare = 0.05; ///< the least fraction of a limit that a gate keeps
-  double m_overlapFactor =
-    1.2; ///< shares overlap a little so that a shift of traffic is not refused
+  double m_minShare = 0.05;     ///< smallest fraction of a limit that a gate may use
+  double m_overlapFactor = 1.2; ///< shares overlap so that a shift of traffic is not refused
 };
 
 /// @brief Computes a gate's fraction of an account's limit.
-/// @param aOwnDemand requests seen here in the last window
-/// @param aTotalDemand requests seen by all gates heard of, this one included
-/// @param aGateCount gates heard of, this one included
-/// @return a fraction from the floor to 1
+/// @param aOwnDemand requests received here in the last window
+/// @param aTotalDemand requests received by all known gates, this one included
+/// @param aGateCount known gates, this one included
+/// @return a fraction from the minimum share to 1
 double ComputeShare(double aOwnDemand,
                     double aTotalDemand,
                     std::uint32_t aGateCount,
                     const ShareOptions& aOptions);
 
-/// @brief Rate and concurrency per client account at one gate.
+/// @brief Limits request rate and concurrency per client account at one gate.
 class AccountLimiter
 {
 public:
-  /// @brief Sets an account's limit; takes effect at once.
+  /// @brief Sets an account's limit, effective immediately.
   void SetLimit(const std::string& aAccount, const AccountLimit& aLimit, base::TimePoint aNow);
-  /// @brief Sets the fraction of the limit that this gate may give out.
+  /// @brief Sets the fraction of the limit that this gate may use.
   void SetShare(const std::string& aAccount, double aShare, base::TimePoint aNow);
-  /// @brief Forgets an account.
+  /// @brief Removes an account and its counters.
   void Remove(const std::string& aAccount);
 
-  /// @brief Admits one request or says why not.
-  /// @return RateLimited or ConcurrencyLimited with m_retryAfter set, UnknownKey for a
-  /// forgotten account
+  /// @brief Admits one request or returns the reason for refusing it.
+  /// @return RateLimited or ConcurrencyLimited with m_retryAfter set, UnknownKey for an account
+  /// without a limit
   base::Result<void> Admit(const std::string& aAccount, base::TimePoint aNow);
-  /// @brief One admitted request has ended.
+  /// @brief Must be called once when an admitted request ends.
   void Release(const std::string& aAccount);
 
-  /// @brief Requests admitted and not yet released.
+  /// @brief Returns the number of requests admitted and not yet released.
   [[nodiscard]] std::uint32_t Concurrent(const std::string& aAccount) const;
-  /// @brief Requests asked for since the last call, and starts counting anew.
+  /// @brief Returns the requests received since the last call, refused ones included, and resets
+  /// the count.
   std::uint64_t TakeDemand(const std::string& aAccount);
 
 private:
--- a/include/ferrytray/limits/admission.hpp
+++ b/include/ferrytray/limits/admission.hpp
@@ -7,16 +7,16 @@
 
 namespace ferrytray::limits {
 
-/// @brief What admission knows of a request and of the fleet.
+/// @brief A request's deadline and the fleet's latency estimates at admission.
 struct AdmissionEstimate
 {
   base::TimePoint m_arrival;
-  std::optional<base::TimePoint> m_deadline; ///< when the first token is no use any more
-  base::Duration m_expectedFirstToken{};     ///< the best candidate's estimate from now
-  base::Duration m_expectedQueueTime{};      ///< until the queue ahead has gone
+  std::optional<base::TimePoint> m_deadline; ///< latest useful time of the first token
+  base::Duration m_expectedFirstToken{};     ///< from now, at the best candidate
+  base::Duration m_expectedQueueTime{};      ///< until the queue ahead has drained
 };
 
-/// @brief Refuses at once what cannot be answered in time, and says when to come back.
+/// @brief Refuses a request that cannot meet its deadline, with a time to retry after.
 /// @return DeadlineUnreachable with m_retryAfter, run state NotRun
 base::Result<void> CheckDeadline(const AdmissionEstimate& aView, base::TimePoint aNow);
 
--- a/include/ferrytray/limits/admission_limit.hpp
+++ b/include/ferrytray/limits/admission_limit.hpp
@@ -10,24 +10,25 @@
 
 struct AdmissionLimitOptions
 {
-  /// A request is slow when its answer has not begun after this part of its route's target: the
-  /// limit has to act before targets are missed.
+  /// A request is slow if its answer has not begun after this fraction of its route's target. Below
+  /// 1 so that the limit acts before targets are missed.
   double m_slowTargetFraction = 0.9;
-  /// More slow requests than this among those of a window lower the limit.
+  /// The limit is decreased when a larger fraction of a window's requests is slow.
   double m_maxSlowFraction = 0.4;
-  double m_decreaseFactor = 0.9; ///< factor of the limit, or of what is open if that is less
-  double m_increaseFactor =
-    1.08;                ///< factor when there is no need to be lower and the limit is in use
-  double m_minLimit = 2; ///< open requests that are always allowed
+  double m_decreaseFactor = 0.9;  ///< applied to the lower of the limit and the open requests
+  double m_increaseFactor = 1.08; ///< applied, plus 1, when the limit was reached and few were slow
+  double m_minLimit = 2;          ///< open requests that are always admitted
   base::Duration m_window = std::chrono::milliseconds(250);
-  std::size_t m_minSamples = 4; ///< with fewer requests a window says nothing
+  std::size_t m_minSamples = 4; ///< windows with fewer requests do not decrease the limit
 };
 
-/// @brief How many requests of one service this host keeps open, found from how late answers begin.
+/// @brief Adaptive limit on a host's open requests to one service, driven by the time until answers
+/// begin.
 ///
-/// When endpoints are lost, what is left would answer everybody late; refusing at once what is too
-/// much lets the others be on time. Hosts need not know of each other: each sees the same endpoints
-/// get slow. Additive increase, multiplicative decrease.
+/// When endpoints are lost, the remaining ones would answer every request late. Refusing the excess
+/// immediately keeps the admitted requests on time. Hosts need no coordination, since each observes
+/// the same endpoints slowing down. The limit decreases by a factor and increases by a factor
+/// plus 1.
 class AdmissionLimit
 {
 public:
@@ -36,16 +37,16 @@
   {
   }
 
-  /// @brief A request arrives. @return its number, or empty when it has to be refused
-  /// @param aTarget its route's target from arrival until its answer begins
+  /// @brief Admits or refuses a request. @return its id, or empty if it is refused
+  /// @param aTarget the route's target time from arrival until the answer begins
   std::optional<std::uint64_t> Admit(base::Duration aTarget, base::TimePoint aNow);
-  /// @brief Its answer began.
+  /// @brief The answer to an admitted request began.
   void OnAnswerStarted(std::uint64_t aRequest, base::TimePoint aNow);
-  /// @brief It has ended in any way.
+  /// @brief An admitted request ended, with or without an answer.
   void OnEnded(std::uint64_t aRequest);
 
   [[nodiscard]] std::size_t Open() const { return m_open.size(); }
-  /// @brief The limit in force; empty while everything is admitted.
+  /// @brief Returns the current limit; empty while every request is admitted.
   [[nodiscard]] std::optional<double> Limit() const { return m_limit; }
 
 private:
@@ -53,7 +54,7 @@
   {
     base::TimePoint m_slowAt;
     bool m_answerStarted = false;
-    bool m_countedSlow = false; ///< as slow, in some window
+    bool m_countedSlow = false; ///< already counted as slow in a window
   };
 
   void CountSlow(Request& aRequest);
@@ -66,7 +67,7 @@
   std::optional<base::TimePoint> m_windowEnd;
   std::size_t m_slowCount = 0;
   std::size_t m_onTimeCount = 0;
-  bool m_limitReached = false; ///< the limit was reached in this window
+  bool m_limitReached = false; ///< a request was refused in this window
 };
 
 } // namespace ferrytray::limits
--- a/include/ferrytray/limits/fair_queue.hpp
+++ b/include/ferrytray/limits/fair_queue.hpp
@@ -15,13 +15,13 @@
 struct QueuedWork
 {
   std::uint64_t m_id = 0;
-  double m_cost = 1; ///< expected engine seconds
+  double m_cost = 1; ///< expected engine time (seconds)
 };
 
 /// @brief Weighted fair queueing between client accounts (start-time fair queueing).
 ///
-/// A long datasheet question moves its account's virtual time further than a short lookup, so
-/// an account that asks for much waits for those that ask for little.
+/// An expensive request advances its account's virtual time further than a cheap one, so accounts
+/// with a high demand wait for those with a low demand.
 class FairQueue
 {
 public:
@@ -30,15 +30,15 @@
   {
   }
 
-  /// @brief Queues work. @return false when the queue is full
-  /// @param aWeight the account's share; must be positive
+  /// @brief Queues a request. @return false if the queue is full or already has the id
+  /// @param aWeight the account's weight; must be positive
   bool Push(const std::string& aAccount, double aWeight, const QueuedWork& aWork);
-  /// @brief Takes the work that is next in fairness.
+  /// @brief Removes and returns the request with the lowest virtual start time.
   std::optional<QueuedWork> Pop();
-  /// @brief Takes work out that is no longer wanted. @return false when it is not queued
+  /// @brief Removes a cancelled request. @return false if it is not queued
   bool Remove(std::uint64_t aId);
   [[nodiscard]] std::size_t Size() const { return m_byStart.size(); }
-  /// @brief The sum of the queued costs (engine seconds).
+  /// @brief Returns the total cost of the queued requests (engine seconds).
   [[nodiscard]] double QueuedCost() const { return m_queuedCost; }
 
 private:
--- a/include/ferrytray/limits/retry_budget.hpp
+++ b/include/ferrytray/limits/retry_budget.hpp
@@ -8,27 +8,26 @@
 
 namespace ferrytray::limits {
 
-/// @brief Options of the retry budget.
 struct RetryBudgetOptions
 {
   double m_retriesPerSuccess = 0.1; ///< retries earned by a success
-  double m_maxBalance = 10;         ///< the most that can be saved up
-  std::uint32_t m_maxAttempts = 3;  ///< attempts of one request, the first included
+  double m_maxBalance = 10;         ///< maximum and initial balance
+  std::uint32_t m_maxAttempts = 3;  ///< per request, including the first
 };
 
-/// @brief What is known of a request whose attempt has failed.
+/// @brief State of a request after a failed attempt.
 struct FailedAttempt
 {
   base::RunState m_run = base::RunState::Unknown;
   bool m_idempotent = false;
   std::uint32_t m_attempts = 1;        ///< attempts made so far
   base::TimePoint m_deadline;          ///< when the caller stops waiting
-  base::Duration m_expectedDuration{}; ///< the time that another attempt needs
+  base::Duration m_expectedDuration{}; ///< duration of another attempt
 };
 
-/// @brief Decides whether a failed attempt may be tried again.
+/// @brief Decides whether a failed attempt may be retried.
 ///
-/// A retry is paid from a fraction of the successes, so retries cannot multiply an overload.
+/// Each success adds a fraction of a retry to the balance, so retries cannot amplify an overload.
 class RetryBudget
 {
 public:
@@ -43,7 +42,7 @@
     m_balance = std::min(m_options.m_maxBalance, m_balance + m_options.m_retriesPerSuccess);
   }
 
-  /// @brief Spends one retry if every rule allows it.
+  /// @brief Takes one retry from the balance if the request may be retried. @return whether it may
   bool TryRetry(const FailedAttempt& aFailed, base::TimePoint aNow)
   {
     const bool repeatable = aFailed.m_idempotent || aFailed.m_run == base::RunState::NotRun;
--- a/include/ferrytray/limits/retry_window.hpp
+++ b/include/ferrytray/limits/retry_window.hpp
@@ -10,19 +10,19 @@
 
 namespace ferrytray::limits {
 
-/// @brief Bound on repeated sends to a service, shared by hosts that do not ask each other.
+/// @brief Options of the system-wide bound on retries, which each host enforces on its own.
 struct RetryWindowOptions
 {
-  double m_ratio = 0.2; ///< repeats per first send of the whole system (from the settings)
-  /// Part of the ratio that one host spends on its own requests: the rest covers windows that
-  /// slide differently here and at the judge of the bound.
+  double m_ratio = 0.2; ///< retries per first send in the whole system (from the settings)
+  /// Fraction of the ratio that a host uses for its own requests. The rest covers windows that are
+  /// aligned differently here and where the bound is checked.
   double m_hostRatioFraction = 0.8;
-  /// Repeats allowed without any request; one host's part of the system's slack.
+  /// Retries allowed without any first send; this host's part of the system-wide allowance.
   double m_minRetries = 1.0;
   base::Duration m_window = std::chrono::seconds(10); ///< from the settings
 };
 
-/// @brief Counts first sends and repeats a service in a sliding window of ten slots.
+/// @brief Counts first sends and retries per service in a sliding window of ten slots.
 class RetryWindow
 {
 public:
@@ -32,7 +32,7 @@
   }
 
   void OnFirstSend(const std::string& aService, base::TimePoint aNow);
-  /// @brief Takes one repeat if the window allows it.
+  /// @brief Counts and allows one retry if the window's bound permits it.
   bool TryRetry(const std::string& aService, base::TimePoint aNow);
 
 private:
--- a/include/ferrytray/limits/token_bucket.hpp
+++ b/include/ferrytray/limits/token_bucket.hpp
@@ -10,8 +10,8 @@
 class TokenBucket
 {
 public:
-  /// @param aRate tokens a second
-  /// @param aBurst the most that the bucket holds
+  /// @param aRate tokens per second
+  /// @param aBurst capacity; the bucket starts full
   TokenBucket(double aRate, double aBurst, base::TimePoint aNow)
     : m_rate(aRate)
     , m_burst(aBurst)
@@ -20,7 +20,7 @@
   {
   }
 
-  /// @brief Takes one token if there is one.
+  /// @brief Takes one token if one is available.
   bool TryTake(base::TimePoint aNow)
   {
     Refill(aNow);
@@ -31,7 +31,7 @@
     return true;
   }
 
-  /// @brief How long until a token is there.
+  /// @brief Returns the time until a token is available.
   [[nodiscard]] base::Duration WaitForToken(base::TimePoint aNow)
   {
     Refill(aNow);
@@ -41,7 +41,7 @@
     return base::FromSeconds((1.0 - m_tokens) / m_rate);
   }
 
-  /// @brief Changes the rate from now on.
+  /// @brief Changes the rate and capacity from aNow on.
   void SetRate(double aRate, double aBurst, base::TimePoint aNow)
   {
     Refill(aNow);
--- a/src/ferrytray/limits/admission_limit.cpp
+++ b/src/ferrytray/limits/admission_limit.cpp
@@ -66,7 +66,7 @@
   } else if (m_limit && m_limitReached) {
     m_limit = *m_limit * m_options.m_increaseFactor + 1;
   } else if (m_limit && open < *m_limit / 2) {
-    m_limit.reset(); // far from it, and on time: the shortage is over
+    m_limit.reset(); // answers are on time well below the limit: the overload is over
   }
   m_slowCount = 0;
   m_onTimeCount = 0;
--- a/src/ferrytray/limits/admission_limit_test.cpp
+++ b/src/ferrytray/limits/admission_limit_test.cpp
@@ -13,13 +13,13 @@
 const base::TimePoint kStart = base::TimePoint(base::Duration(1'000'000));
 constexpr base::Duration kTarget = 400ms;
 
-/// Endpoints that work on so many requests at once and keep the others waiting in line.
+/// Simulates endpoints that run m_slots requests at a time and queue the others.
 struct EndpointPool
 {
   std::size_t m_slots;
   base::Duration m_serviceTime = 200ms;
-  std::deque<std::pair<std::uint64_t, base::TimePoint>> m_waiting;  ///< number, arrival
-  std::vector<std::pair<std::uint64_t, base::TimePoint>> m_running; ///< number, end
+  std::deque<std::pair<std::uint64_t, base::TimePoint>> m_waiting;  ///< id, arrival
+  std::vector<std::pair<std::uint64_t, base::TimePoint>> m_running; ///< id, end
 };
 
 struct Outcome
@@ -29,7 +29,7 @@
   int m_refused = 0;
 };
 
-/// One request every aGap for aSpan.
+/// Sends one request every aGap for aSpan.
 Outcome SimulateLoad(limits::AdmissionLimit& aLimit,
                      EndpointPool& aPool,
                      base::Duration aGap,
@@ -77,7 +77,7 @@
 TEST(AdmissionLimit, AdmitsEverythingWithinCapacity)
 {
   EndpointPool pool{ 10, 200ms, {}, {} };
-  const Outcome outcome = SimulateLoad(m_limit, pool, 25ms, 20s); // 8 of 10 slots
+  const Outcome outcome = SimulateLoad(m_limit, pool, 25ms, 20s); // uses 8 of 10 slots
   LONGS_EQUAL(0, outcome.m_refused);
   LONGS_EQUAL(0, outcome.m_late);
   CHECK_FALSE(m_limit.Limit().has_value());
@@ -85,16 +85,16 @@
 
 TEST(AdmissionLimit, EarlyReactionKeepsMostAdmittedRequestsOnTimeUnderOverload)
 {
-  // Acts early: well before targets are missed.
+  // Reacts well before targets are missed.
   limits::AdmissionLimit reactive({ .m_slowTargetFraction = 0.6,
                                     .m_maxSlowFraction = 0.3,
                                     .m_decreaseFactor = 0.85,
                                     .m_increaseFactor = 1.04 });
   EndpointPool pool{ 10, 200ms, {}, {} };
-  const Outcome outcome = SimulateLoad(reactive, pool, 14ms, 20s); // 14 of 10 slots
+  const Outcome outcome = SimulateLoad(reactive, pool, 14ms, 20s); // needs 14 of 10 slots
   const int answered = outcome.m_onTime + outcome.m_late;
   CHECK(outcome.m_onTime > answered * 9 / 10);
-  CHECK(answered > 800); // of 1,000 that could run
+  CHECK(answered > 800); // capacity: 1,000
   CHECK(outcome.m_refused > 300);
 }
 
--- a/src/ferrytray/limits/fair_queue.cpp
+++ b/src/ferrytray/limits/fair_queue.cpp
@@ -47,7 +47,7 @@
   m_byId.erase(aEntry->second.m_work.m_id);
   m_byStart.erase(aEntry);
   if (m_byStart.empty()) {
-    // An idle queue owes nobody anything, and the table of accounts stays bounded.
+    // With an empty queue no account is owed service; clearing bounds the table of accounts.
     m_lastFinish.clear();
     m_virtualTime = 0;
     m_queuedCost = 0;
--- a/src/ferrytray/limits/retry_window_test.cpp
+++ b/src/ferrytray/limits/retry_window_test.cpp
@@ -62,7 +62,7 @@
         return std::count_if(
           aTimes.begin(), aTimes.end(), [&](base::TimePoint aTime) { return aTime > now - aSpan; });
       };
-      // Slots are a tenth of the window, so a repeat is counted for nine tenths at least.
+      // A slot is a tenth of the window, so a retry is counted for at least nine tenths of it.
       RC_ASSERT(static_cast<double>(within(retries, 9s)) <=
                 1.0 + 0.2 * static_cast<double>(within(firstSends, 10s)) + 1e-9);
     }
