--- a/include/ferrytray/control/half_rule.hpp
+++ b/include/ferrytray/control/half_rule.hpp
@@ -5,7 +5,7 @@
 namespace ferrytray::control {
 
 /// @brief What this half's operator wants of a rule.
-enum class HalfWish : std::uint8_t
+enum class DesiredOwner : std::uint8_t
 {
   Here,
   HandingOver,
@@ -18,16 +18,17 @@
 /// operators could take the same epoch after a hand-over.
 struct HalfView
 {
-  HalfWish m_wish = HalfWish::Here;
-  std::uint64_t m_epoch = 1;    ///< of the wish; the first owner has epoch 1
-  std::uint64_t m_given = 0;    ///< the highest epoch that this half ended
-  std::uint64_t m_received = 0; ///< the highest epoch that the other half is known to have ended
+  DesiredOwner m_desiredOwner = DesiredOwner::Here;
+  std::uint64_t m_epoch = 1;          ///< of the wish; the first owner has epoch 1
+  std::uint64_t m_lastEndedEpoch = 0; ///< the highest epoch that this half ended
+  std::uint64_t m_otherLastEndedEpoch =
+    0; ///< the highest epoch that the other half is known to have ended
 };
 
 /// @brief Whether the epoch of the wish is this half's and has begun.
-constexpr bool HasBegun(const HalfView& aView)
+constexpr bool HasEpochBegun(const HalfView& aView)
 {
-  return aView.m_epoch == 1 || aView.m_received + 1 == aView.m_epoch;
+  return aView.m_epoch == 1 || aView.m_otherLastEndedEpoch + 1 == aView.m_epoch;
 }
 
 /// @brief Whether this half serves what the rule covers.
@@ -35,23 +36,24 @@
 /// A file that wishes for an ended epoch again changes nothing.
 constexpr bool MayServe(const HalfView& aView)
 {
-  const bool ended = aView.m_given >= aView.m_epoch;
-  return aView.m_wish == HalfWish::Here && HasBegun(aView) && !ended;
+  const bool ended = aView.m_lastEndedEpoch >= aView.m_epoch;
+  return aView.m_desiredOwner == DesiredOwner::Here && HasEpochBegun(aView) && !ended;
 }
 
 /// @brief Whether the end of the epoch may be recorded now.
 /// @param aEveryGateDrained every listed gate refuses new work and has none open
-constexpr bool MayRecordEnd(const HalfView& aView, bool aEveryGateDrained)
+constexpr bool MayRecordEpochEnd(const HalfView& aView, bool aEveryGateDrained)
 {
-  const bool ended = aView.m_given >= aView.m_epoch;
-  return aView.m_wish == HalfWish::HandingOver && HasBegun(aView) && !ended && aEveryGateDrained;
+  const bool ended = aView.m_lastEndedEpoch >= aView.m_epoch;
+  return aView.m_desiredOwner == DesiredOwner::HandingOver && HasEpochBegun(aView) && !ended &&
+         aEveryGateDrained;
 }
 
 /// @brief Whether this half has to ask the other for the record of its hand-over.
-constexpr bool MustAskOther(const HalfView& aView)
+constexpr bool MustQueryOtherHalf(const HalfView& aView)
 {
-  return aView.m_wish == HalfWish::Here && aView.m_epoch > 1 &&
-         aView.m_received + 1 < aView.m_epoch;
+  return aView.m_desiredOwner == DesiredOwner::Here && aView.m_epoch > 1 &&
+         aView.m_otherLastEndedEpoch + 1 < aView.m_epoch;
 }
 
 } // namespace ferrytray::control
--- a/include/ferrytray/control/lease.hpp
+++ b/include/ferrytray/control/lease.hpp
@@ -11,7 +11,7 @@
 namespace ferrytray::control {
 
 /// @brief The log offset at which a lease was taken; orders carry it, a higher one wins.
-using FencingNumber = std::uint64_t;
+using FencingToken = std::uint64_t;
 
 /// @brief One host's request for leases, one log record for all of them.
 struct LeaseRecord
@@ -25,7 +25,7 @@
 struct HeldLease
 {
   std::string m_holder;
-  FencingNumber m_fence = 0;
+  FencingToken m_fencingToken = 0;
   base::Duration m_expires{}; ///< platform time
 };
 
@@ -43,11 +43,11 @@
   std::map<std::string, HeldLease> m_leases;
 };
 
-struct HolderOptions
+struct LeaseHolderOptions
 {
   base::Duration m_duration = std::chrono::seconds(9);
   base::Duration m_renewEvery = std::chrono::seconds(3);
-  base::Duration m_longestSend = std::chrono::seconds(2); ///< after which an order is dropped
+  base::Duration m_maxSendTime = std::chrono::seconds(2); ///< after which an order is dropped
   base::Duration m_clockMargin = std::chrono::milliseconds(500);
 };
 
@@ -57,7 +57,7 @@
 class LeaseHolder
 {
 public:
-  LeaseHolder(std::string aHolder, HolderOptions aOptions)
+  LeaseHolder(std::string aHolder, LeaseHolderOptions aOptions)
     : m_holder(std::move(aHolder))
     , m_options(aOptions)
   {
@@ -77,17 +77,17 @@
 
   /// @brief Whether an order may be sent at this moment. Check just before the send.
   /// @param aChecksFencing whether the endpoint refuses old fencing numbers itself
-  [[nodiscard]] bool MayOrder(bool aChecksFencing, base::TimePoint aNow) const;
-  [[nodiscard]] FencingNumber Fence() const { return m_fence; }
+  [[nodiscard]] bool MaySendOrder(bool aChecksFencing, base::TimePoint aNow) const;
+  [[nodiscard]] FencingToken CurrentFencingToken() const { return m_fencingToken; }
 
 private:
   std::string m_holder;
-  HolderOptions m_options;
-  FencingNumber m_fence = 0;
+  LeaseHolderOptions m_options;
+  FencingToken m_fencingToken = 0;
   base::TimePoint m_sentAt{};
   base::TimePoint m_appendedAt{};
   base::TimePoint m_validUntil{};
-  base::TimePoint m_firstHeld{};
+  base::TimePoint m_heldSince{};
 };
 
 } // namespace ferrytray::control
--- a/include/ferrytray/control/order_lease.hpp
+++ b/include/ferrytray/control/order_lease.hpp
@@ -15,9 +15,9 @@
   base::Duration m_duration = std::chrono::milliseconds(1000);
   base::Duration m_renewEvery = std::chrono::milliseconds(350);
   /// Held back at the end, for a send that is under way.
-  base::Duration m_margin = std::chrono::milliseconds(400);
+  base::Duration m_sendMargin = std::chrono::milliseconds(400);
   /// Endpoints that ignore fencing numbers need so long between two holders (settings).
-  base::Duration m_turnGap = std::chrono::milliseconds(3000);
+  base::Duration m_handoverGap = std::chrono::milliseconds(3000);
 };
 
 /// @brief One host's view of the right to give orders. Pure.
@@ -42,33 +42,33 @@
   /// @param aHolder who wrote the newest record; empty if there is none
   void OnRead(std::uint64_t aEnd, const std::string& aHolder, base::TimePoint aNow);
   void OnAppendSent(base::TimePoint aNow);
-  void OnAppendTaken(std::uint64_t aOffset, base::TimePoint aNow);
+  void OnAppendAccepted(std::uint64_t aOffset, base::TimePoint aNow);
   /// @brief The append was refused or its answer was lost: the topic has to be read again.
-  void OnAppendUnsure();
+  void OnAppendUncertain();
 
   /// @brief Whether the topic's end has to be read before anything else.
   [[nodiscard]] bool NeedsRead() const { return !m_endKnown; }
   /// @brief Whether to append a record now, to take or to renew the lease.
   [[nodiscard]] bool ShouldAppend(base::TimePoint aNow) const;
   /// @brief Whether an order may be sent at this moment. Check just before each send.
-  [[nodiscard]] bool MayOrder(base::TimePoint aNow) const;
-  [[nodiscard]] std::uint64_t Fence() const { return m_fence; }
+  [[nodiscard]] bool MaySendOrder(base::TimePoint aNow) const;
+  [[nodiscard]] std::uint64_t CurrentFencingToken() const { return m_fencingToken; }
   /// @brief Who wrote the newest record that was read or appended.
   [[nodiscard]] const std::string& Holder() const { return m_holder; }
-  [[nodiscard]] std::uint64_t End() const { return m_end; }
+  [[nodiscard]] std::uint64_t End() const { return m_endOffset; }
   /// @brief Gives the lease up at once, such as after the process stood still.
   void Drop();
 
 private:
   std::string m_self;
   OrderLeaseOptions m_options;
-  std::uint64_t m_end = 0; ///< as last read; only a hint unless m_endKnown
+  std::uint64_t m_endOffset = 0; ///< as last read; only a hint unless m_endKnown
   bool m_endKnown = false;
   std::string m_holder;
-  std::optional<base::TimePoint> m_othersUntil; ///< another holder may give orders until then
-  std::uint64_t m_fence = 0;
+  std::optional<base::TimePoint> m_otherHolderUntil; ///< another holder may give orders until then
+  std::uint64_t m_fencingToken = 0;
   std::optional<base::TimePoint> m_sentAt; ///< of the append that is under way or was unsure
-  std::optional<base::TimePoint> m_heldFrom;
+  std::optional<base::TimePoint> m_heldSince;
   bool m_appending = false;
 };
 
--- a/include/ferrytray/control/swap_planner.hpp
+++ b/include/ferrytray/control/swap_planner.hpp
@@ -29,7 +29,7 @@
   std::string m_version;
 };
 
-struct SwapOptions
+struct SwapPlannerOptions
 {
   std::uint32_t m_maxConcurrent = 1;
   base::Duration m_confirmTimeout =
@@ -43,7 +43,7 @@
 class SwapPlanner
 {
 public:
-  explicit SwapPlanner(SwapOptions aOptions)
+  explicit SwapPlanner(SwapPlannerOptions aOptions)
     : m_options(aOptions)
   {
   }
@@ -57,27 +57,27 @@
                               std::span<const WorkerVersion> aWorkers,
                               base::TimePoint aNow);
   /// @brief Forgets orders sent (a new holder reads the actual state instead).
-  void Reset() { m_ordered.clear(); }
+  void Reset() { m_pendingOrders.clear(); }
   /// @brief An order that was planned names another version when it is sent.
   void Retarget(const std::string& aWorker, const std::string& aVersion);
   /// @brief Whether a worker was ordered and has not been seen to have swapped.
-  [[nodiscard]] bool IsOrdered(const std::string& aWorker) const
+  [[nodiscard]] bool HasPendingOrder(const std::string& aWorker) const
   {
-    return m_ordered.contains(aWorker);
+    return m_pendingOrders.contains(aWorker);
   }
 
 private:
-  struct Ordered
+  struct PendingOrder
   {
     std::string m_version;
     std::string m_incarnation;
-    base::TimePoint m_at;
+    base::TimePoint m_plannedAt;
   };
 
-  void ForgetSettled(std::span<const WorkerVersion> aWorkers, base::TimePoint aNow);
+  void RemoveSettledOrders(std::span<const WorkerVersion> aWorkers, base::TimePoint aNow);
 
-  SwapOptions m_options;
-  std::map<std::string, Ordered> m_ordered;
+  SwapPlannerOptions m_options;
+  std::map<std::string, PendingOrder> m_pendingOrders;
 };
 
 } // namespace ferrytray::control
--- a/include/ferrytray/keeper/swap_controller.hpp
+++ b/include/ferrytray/keeper/swap_controller.hpp
@@ -36,14 +36,14 @@
 private:
   struct FleetControl
   {
-    FleetControl(const std::string& aHolder, const control::HolderOptions& aOptions)
+    FleetControl(const std::string& aHolder, const control::LeaseHolderOptions& aOptions)
       : m_holder(aHolder, aOptions)
       , m_planner({})
     {
     }
     control::LeaseHolder m_holder;
     control::SwapPlanner m_planner;
-    control::FencingNumber m_plannedUnder = 0;
+    control::FencingToken m_plannedUnder = 0;
   };
 
   void OnPage(const wire::LogPage& aPage);
@@ -58,7 +58,7 @@
 
   net::HttpClient& m_http;
   std::string m_holderName;
-  control::HolderOptions m_holderOptions;
+  control::LeaseHolderOptions m_holderOptions;
   wire::LogFollower m_follower;
   wire::LogClient m_appender;
   control::LeaseTable m_leases;
--- a/src/ferrytray/control/control_test.cpp
+++ b/src/ferrytray/control/control_test.cpp
@@ -17,7 +17,7 @@
 
 const base::TimePoint kStart{ 1000s };
 
-LeaseRecord Take(const char* aHolder)
+LeaseRecord MakeLeaseRecord(const char* aHolder)
 {
   return { aHolder, { "swap/lab" }, 9s };
 }
@@ -29,65 +29,65 @@
   control::LeaseTable m_table;
 };
 
-TEST(Lease, TheFirstInTheLogHoldsItAndRenewalsKeepItsNumber)
+TEST(Lease, FirstRecordTakesTheLeaseAndRenewalsKeepItsFencingToken)
 {
-  m_table.Apply(5, 0s, Take("a"));
-  m_table.Apply(6, 1s, Take("b"));
-  m_table.Apply(7, 3s, Take("a"));
+  m_table.Apply(5, 0s, MakeLeaseRecord("a"));
+  m_table.Apply(6, 1s, MakeLeaseRecord("b"));
+  m_table.Apply(7, 3s, MakeLeaseRecord("a"));
   const auto held = m_table.Find("swap/lab");
   STRCMP_EQUAL("a", held->m_holder.c_str());
-  LONGS_EQUAL(5, held->m_fence);
+  LONGS_EQUAL(5, held->m_fencingToken);
   CHECK(held->m_expires == base::Duration(12s));
 }
 
-TEST(Lease, ALapsedOneGoesToTheNextWithAHigherNumber)
+TEST(Lease, ExpiredLeaseGoesToTheNextHolderWithAHigherFencingToken)
 {
-  m_table.Apply(5, 0s, Take("a"));
-  m_table.Apply(8, 9s, Take("b"));
-  m_table.Apply(9, 10s, Take("a"));
-  LONGS_EQUAL(8, m_table.Find("swap/lab")->m_fence);
+  m_table.Apply(5, 0s, MakeLeaseRecord("a"));
+  m_table.Apply(8, 9s, MakeLeaseRecord("b"));
+  m_table.Apply(9, 10s, MakeLeaseRecord("a"));
+  LONGS_EQUAL(8, m_table.Find("swap/lab")->m_fencingToken);
   STRCMP_EQUAL("b", m_table.Find("swap/lab")->m_holder.c_str());
 }
 
-TEST(Lease, APausedHolderDoesNotOrderAfterItWakes)
+TEST(Lease, PausedHolderSendsNoOrdersAfterResuming)
 {
   control::LeaseHolder holder("a", {});
   holder.OnAppendSent(kStart);
-  m_table.Apply(5, 0s, Take("a"));
+  m_table.Apply(5, 0s, MakeLeaseRecord("a"));
   holder.OnReadBack(m_table.Find("swap/lab"), kStart + 1s);
-  CHECK(holder.MayOrder(true, kStart + 1s));
-  CHECK_FALSE(holder.MayOrder(true, kStart + 7s));
-  CHECK_FALSE(holder.MayOrder(true, kStart + 60s));
+  CHECK(holder.MaySendOrder(true, kStart + 1s));
+  CHECK_FALSE(holder.MaySendOrder(true, kStart + 7s));
+  CHECK_FALSE(holder.MaySendOrder(true, kStart + 60s));
 }
 
-TEST(Lease, AnEndpointThatIgnoresFencingIsOrderedOnlyAfterTheWait)
+TEST(Lease, WaitsBeforeOrderingAnEndpointThatIgnoresFencing)
 {
   control::LeaseHolder holder("a", {});
-  m_table.Apply(5, 0s, Take("a"));
+  m_table.Apply(5, 0s, MakeLeaseRecord("a"));
   for (int second = 0; second <= 12; second += 3) {
     holder.OnAppendSent(kStart + std::chrono::seconds(second));
-    m_table.Apply(6 + second, std::chrono::seconds(second), Take("a"));
+    m_table.Apply(6 + second, std::chrono::seconds(second), MakeLeaseRecord("a"));
     holder.OnReadBack(m_table.Find("swap/lab"), kStart + std::chrono::seconds(second));
     const bool settled = second >= 11;
-    CHECK_EQUAL(settled, holder.MayOrder(false, kStart + std::chrono::seconds(second)));
-    CHECK(holder.MayOrder(true, kStart + std::chrono::seconds(second)));
+    CHECK_EQUAL(settled, holder.MaySendOrder(false, kStart + std::chrono::seconds(second)));
+    CHECK(holder.MaySendOrder(true, kStart + std::chrono::seconds(second)));
   }
 }
 
-TEST(Lease, LosingItStopsOrders)
+TEST(Lease, LosingTheLeaseStopsOrders)
 {
   control::LeaseHolder holder("a", {});
   holder.OnAppendSent(kStart);
-  m_table.Apply(5, 0s, Take("a"));
+  m_table.Apply(5, 0s, MakeLeaseRecord("a"));
   holder.OnReadBack(m_table.Find("swap/lab"), kStart);
-  m_table.Apply(8, 20s, Take("b"));
+  m_table.Apply(8, 20s, MakeLeaseRecord("b"));
   holder.OnReadBack(m_table.Find("swap/lab"), kStart + 1s);
-  CHECK_FALSE(holder.MayOrder(true, kStart + 1s));
+  CHECK_FALSE(holder.MaySendOrder(true, kStart + 1s));
 }
 
 // Two hosts, any interleaving of appends, reads, pauses and orders, with clocks that run alike:
 // the moments at which each may order an endpoint that ignores fencing numbers never overlap.
-TEST(Lease, TwoHoldersNeverBothOrderAnEndpointThatIgnoresFencing)
+TEST(Lease, OrdersOfTwoHoldersNeverOverlapWithoutFencing)
 {
   const bool holds = rc::check("lease exclusion", [] {
     control::LeaseTable log;
@@ -104,10 +104,10 @@
       const auto held = log.Find("swap/lab");
       if (holders[who].ShouldAppend(held, now, at)) {
         holders[who].OnAppendSent(at);
-        log.Apply(++offset, now, Take(who == 0 ? "a" : "b"));
+        log.Apply(++offset, now, MakeLeaseRecord(who == 0 ? "a" : "b"));
         holders[who].OnReadBack(log.Find("swap/lab"), at);
       }
-      if (step % 3 != 0 && holders[who].MayOrder(false, at)) {
+      if (step % 3 != 0 && holders[who].MaySendOrder(false, at)) {
         // An order takes effect up to the longest send later.
         RC_ASSERT(lastOrder[1 - who] + 2s < now);
         lastOrder[who] = now;
@@ -129,7 +129,7 @@
   }
 };
 
-TEST(SwapPlanner, NeverOrdersMoreThanTheLimitEvenWhileReportsLag)
+TEST(SwapPlanner, RespectsTheSwapLimitWhileReportsLag)
 {
   control::SwapPlanner planner({ 2, 30s });
   LONGS_EQUAL(2, planner.Plan("new", m_workers, kStart).size());
@@ -140,14 +140,14 @@
   STRCMP_EQUAL("w2", next.front().m_worker.c_str());
 }
 
-TEST(SwapPlanner, CountsSwapsThatAnotherHolderBegan)
+TEST(SwapPlanner, CountsSwapsStartedByAnotherHolder)
 {
   control::SwapPlanner planner({ 2, 30s });
   m_workers[4].m_swapping = true;
   LONGS_EQUAL(1, planner.Plan("new", m_workers, kStart).size());
 }
 
-TEST(SwapPlanner, SendsALostOrderAgainAndLeavesALeavingWorkerAlone)
+TEST(SwapPlanner, ResendsUnconfirmedOrdersAndSkipsLeavingWorkers)
 {
   control::SwapPlanner planner({ 1, 30s });
   STRCMP_EQUAL("w0", planner.Plan("new", m_workers, kStart).front().m_worker.c_str());
@@ -156,7 +156,7 @@
   STRCMP_EQUAL("w1", planner.Plan("new", m_workers, kStart + 60s).front().m_worker.c_str());
 }
 
-TEST(SwapPlanner, AReplacedWorkerDoesNotHoldItsPlace)
+TEST(SwapPlanner, ReplacedWorkerReleasesItsSwapSlot)
 {
   control::SwapPlanner planner({ 1, 30s });
   planner.Plan("new", m_workers, kStart);
@@ -166,7 +166,7 @@
 
 TEST_GROUP(LeavingSet){};
 
-TEST(LeavingSet, IsForGoodForAnIncarnation)
+TEST(LeavingSet, LeavingIsPermanentForAnIncarnation)
 {
   control::LeavingSet leaving;
   leaving.Add("w1", "1");
@@ -179,21 +179,21 @@
 
 TEST_GROUP(HalfRule){};
 
-TEST(HalfRule, AnEndedEpochIsNeverServedAgain)
+TEST(HalfRule, NeverServesAnEndedEpoch)
 {
-  using control::HalfWish;
-  CHECK(control::MayServe({ HalfWish::Here, 1, 0, 0 }));
-  CHECK_FALSE(control::MayServe({ HalfWish::Here, 1, 1, 0 }));
-  CHECK_FALSE(control::MayServe({ HalfWish::HandingOver, 1, 0, 0 }));
+  using control::DesiredOwner;
+  CHECK(control::MayServe({ DesiredOwner::Here, 1, 0, 0 }));
+  CHECK_FALSE(control::MayServe({ DesiredOwner::Here, 1, 1, 0 }));
+  CHECK_FALSE(control::MayServe({ DesiredOwner::HandingOver, 1, 0, 0 }));
   // Who ended epoch 1 cannot own epoch 2, but epoch 3 once the other has ended 2.
-  CHECK_FALSE(control::MayServe({ HalfWish::Here, 2, 1, 0 }));
-  CHECK(control::MayServe({ HalfWish::Here, 3, 1, 2 }));
-  CHECK(control::MustAskOther({ HalfWish::Here, 2, 0, 0 }));
+  CHECK_FALSE(control::MayServe({ DesiredOwner::Here, 2, 1, 0 }));
+  CHECK(control::MayServe({ DesiredOwner::Here, 3, 1, 2 }));
+  CHECK(control::MustQueryOtherHalf({ DesiredOwner::Here, 2, 0, 0 }));
 }
 
 // Both halves, operators that write any file, gates that take it up late, records that travel late
 // or never: no epoch is served by both, and never both at once.
-TEST(HalfRule, TheTwoHalvesNeverBothServe)
+TEST(HalfRule, HalvesNeverServeAtTheSameTime)
 {
   const bool holds = rc::check("one half serves", [] {
     struct Half
@@ -202,9 +202,9 @@
       control::HalfView m_gates[2]; // what each gate has taken up
     };
     Half halves[2];
-    halves[1].m_log.m_wish = control::HalfWish::There;
+    halves[1].m_log.m_desiredOwner = control::DesiredOwner::There;
     for (auto& gate : halves[1].m_gates) {
-      gate.m_wish = control::HalfWish::There;
+      gate.m_desiredOwner = control::DesiredOwner::There;
     }
     const auto steps =
       *rc::gen::resize(100, rc::gen::container<std::vector<int>>(120, rc::gen::inRange(0, 1000)));
@@ -216,11 +216,13 @@
       switch ((step / 4) % 5) {
         case 0: {
           // Operators follow the epochs: a taker asks for the next one only.
-          const bool take = half.m_log.m_wish == control::HalfWish::There;
-          const std::uint64_t epoch = std::max(half.m_log.m_given, other.m_log.m_given);
+          const bool take = half.m_log.m_desiredOwner == control::DesiredOwner::There;
+          const std::uint64_t epoch =
+            std::max(half.m_log.m_lastEndedEpoch, other.m_log.m_lastEndedEpoch);
           half.m_log.m_epoch =
             take ? std::max(epoch + 1, half.m_log.m_epoch + 1) : half.m_log.m_epoch;
-          half.m_log.m_wish = take ? control::HalfWish::Here : control::HalfWish::HandingOver;
+          half.m_log.m_desiredOwner =
+            take ? control::DesiredOwner::Here : control::DesiredOwner::HandingOver;
           break;
         }
         case 1:
@@ -229,23 +231,24 @@
         case 2: {
           const bool drained =
             std::all_of(std::begin(half.m_gates), std::end(half.m_gates), [&](const auto& aGate) {
-              return aGate.m_wish == control::HalfWish::HandingOver &&
+              return aGate.m_desiredOwner == control::DesiredOwner::HandingOver &&
                      aGate.m_epoch == half.m_log.m_epoch;
             });
-          if (control::MayRecordEnd(half.m_log, drained)) {
-            half.m_log.m_given = half.m_log.m_epoch;
-            half.m_log.m_wish = control::HalfWish::There;
+          if (control::MayRecordEpochEnd(half.m_log, drained)) {
+            half.m_log.m_lastEndedEpoch = half.m_log.m_epoch;
+            half.m_log.m_desiredOwner = control::DesiredOwner::There;
           }
           break;
         }
         case 3:
-          if (control::MustAskOther(half.m_log) && other.m_log.m_given + 1 >= half.m_log.m_epoch) {
-            half.m_log.m_received = half.m_log.m_epoch - 1;
+          if (control::MustQueryOtherHalf(half.m_log) &&
+              other.m_log.m_lastEndedEpoch + 1 >= half.m_log.m_epoch) {
+            half.m_log.m_otherLastEndedEpoch = half.m_log.m_epoch - 1;
           }
           break;
         default:
-          gate.m_given = half.m_log.m_given;
-          gate.m_received = half.m_log.m_received;
+          gate.m_lastEndedEpoch = half.m_log.m_lastEndedEpoch;
+          gate.m_otherLastEndedEpoch = half.m_log.m_otherLastEndedEpoch;
       }
       int serving = 0;
       for (const Half& each : halves) {
--- a/src/ferrytray/control/lease.cpp
+++ b/src/ferrytray/control/lease.cpp
@@ -6,14 +6,14 @@
 {
   for (const std::string& name : aRecord.m_leases) {
     HeldLease& lease = m_leases[name];
-    const bool free = lease.m_fence == 0 || lease.m_expires <= aTime;
+    const bool free = lease.m_fencingToken == 0 || lease.m_expires <= aTime;
     const bool own = lease.m_holder == aRecord.m_holder;
     if (!free && !own) {
       continue;
     }
     // A lapsed lease gets a new number even for its old holder: another may have read it as free.
     if (free) {
-      lease.m_fence = aOffset;
+      lease.m_fencingToken = aOffset;
     }
     lease.m_holder = aRecord.m_holder;
     lease.m_expires = aTime + aRecord.m_duration;
@@ -23,7 +23,7 @@
 std::optional<HeldLease> LeaseTable::Find(const std::string& aLease) const
 {
   const auto found = m_leases.find(aLease);
-  const bool taken = found != m_leases.end() && found->second.m_fence != 0;
+  const bool taken = found != m_leases.end() && found->second.m_fencingToken != 0;
   return taken ? std::optional(found->second) : std::nullopt;
 }
 
@@ -48,24 +48,24 @@
 void LeaseHolder::OnReadBack(const std::optional<HeldLease>& aHeld, base::TimePoint aNow)
 {
   if (!aHeld || aHeld->m_holder != m_holder) {
-    m_fence = 0;
+    m_fencingToken = 0;
     m_validUntil = {};
     return;
   }
-  if (aHeld->m_fence != m_fence) {
-    m_fence = aHeld->m_fence;
-    m_firstHeld = aNow;
+  if (aHeld->m_fencingToken != m_fencingToken) {
+    m_fencingToken = aHeld->m_fencingToken;
+    m_heldSince = aNow;
   }
   m_validUntil = m_sentAt + m_options.m_duration - m_options.m_clockMargin;
 }
 
-bool LeaseHolder::MayOrder(bool aChecksFencing, base::TimePoint aNow) const
+bool LeaseHolder::MaySendOrder(bool aChecksFencing, base::TimePoint aNow) const
 {
-  if (m_fence == 0 || aNow + m_options.m_longestSend >= m_validUntil) {
+  if (m_fencingToken == 0 || aNow + m_options.m_maxSendTime >= m_validUntil) {
     return false;
   }
   // The last holder may be paused within a send that such an endpoint would still obey.
-  const base::TimePoint settled = m_firstHeld + m_options.m_duration + m_options.m_longestSend;
+  const base::TimePoint settled = m_heldSince + m_options.m_duration + m_options.m_maxSendTime;
   return aChecksFencing || aNow >= settled;
 }
 
--- a/src/ferrytray/control/order_lease.cpp
+++ b/src/ferrytray/control/order_lease.cpp
@@ -4,8 +4,8 @@
 
 void OrderLease::OnRead(std::uint64_t aEnd, const std::string& aHolder, base::TimePoint aNow)
 {
-  const bool news = m_end != aEnd || !m_othersUntil;
-  m_end = aEnd;
+  const bool changed = m_endOffset != aEnd || !m_otherHolderUntil;
+  m_endOffset = aEnd;
   m_endKnown = true;
   m_holder = aHolder;
   if (aHolder.empty()) {
@@ -13,15 +13,15 @@
   }
   if (aHolder == m_self && m_sentAt) {
     // Nobody came after this host. Its unsure append counts only if it is that newest record.
-    if (aEnd > m_fence) {
-      m_fence = aEnd;
-      m_heldFrom = m_sentAt;
+    if (aEnd > m_fencingToken) {
+      m_fencingToken = aEnd;
+      m_heldSince = m_sentAt;
     }
     return;
   }
-  m_heldFrom.reset();
-  if (news) {
-    m_othersUntil = aNow + m_options.m_duration + m_options.m_turnGap;
+  m_heldSince.reset();
+  if (changed) {
+    m_otherHolderUntil = aNow + m_options.m_duration + m_options.m_handoverGap;
   }
 }
 
@@ -31,17 +31,17 @@
   m_sentAt = aNow;
 }
 
-void OrderLease::OnAppendTaken(std::uint64_t aOffset, base::TimePoint aNow)
+void OrderLease::OnAppendAccepted(std::uint64_t aOffset, base::TimePoint aNow)
 {
   static_cast<void>(aNow);
   m_appending = false;
-  m_end = aOffset + 1;
+  m_endOffset = aOffset + 1;
   m_holder = m_self;
-  m_fence = aOffset + 1;
-  m_heldFrom = m_sentAt;
+  m_fencingToken = aOffset + 1;
+  m_heldSince = m_sentAt;
 }
 
-void OrderLease::OnAppendUnsure()
+void OrderLease::OnAppendUncertain()
 {
   m_appending = false;
   m_endKnown = false;
@@ -52,23 +52,23 @@
   if (m_appending || !m_endKnown) {
     return false;
   }
-  if (m_heldFrom) {
-    return aNow >= *m_heldFrom + m_options.m_renewEvery;
+  if (m_heldSince) {
+    return aNow >= *m_heldSince + m_options.m_renewEvery;
   }
-  return !m_othersUntil || aNow >= *m_othersUntil;
+  return !m_otherHolderUntil || aNow >= *m_otherHolderUntil;
 }
 
-bool OrderLease::MayOrder(base::TimePoint aNow) const
+bool OrderLease::MaySendOrder(base::TimePoint aNow) const
 {
-  return m_heldFrom && aNow < *m_heldFrom + m_options.m_duration - m_options.m_margin;
+  return m_heldSince && aNow < *m_heldSince + m_options.m_duration - m_options.m_sendMargin;
 }
 
 void OrderLease::Drop()
 {
-  m_heldFrom.reset();
+  m_heldSince.reset();
   m_sentAt.reset();
   m_endKnown = false;
-  m_othersUntil.reset();
+  m_otherHolderUntil.reset();
 }
 
 } // namespace ferrytray::control
--- a/src/ferrytray/control/order_lease_test.cpp
+++ b/src/ferrytray/control/order_lease_test.cpp
@@ -16,48 +16,48 @@
 const base::TimePoint kStart = base::TimePoint(base::Duration(1'000'000));
 
 /// Takes the lease at once on an empty topic.
-void Take(OrderLease& aLease, std::uint64_t aOffset, base::TimePoint aNow)
+void TakeLease(OrderLease& aLease, std::uint64_t aOffset, base::TimePoint aNow)
 {
   aLease.OnAppendSent(aNow);
-  aLease.OnAppendTaken(aOffset, aNow);
+  aLease.OnAppendAccepted(aOffset, aNow);
 }
 
 } // namespace
 
 TEST_GROUP(OrderLease){};
 
-TEST(OrderLease, AnEmptyTopicIsFreeOnceItWasRead)
+TEST(OrderLease, EmptyTopicMayBeTakenOnceRead)
 {
   OrderLease lease("a", {});
   CHECK(lease.NeedsRead());
   CHECK_FALSE(lease.ShouldAppend(kStart));
   lease.OnRead(0, "", kStart);
   CHECK(lease.ShouldAppend(kStart));
-  CHECK_FALSE(lease.MayOrder(kStart));
-  Take(lease, 0, kStart);
-  CHECK(lease.MayOrder(kStart));
-  LONGS_EQUAL(1, lease.Fence());
+  CHECK_FALSE(lease.MaySendOrder(kStart));
+  TakeLease(lease, 0, kStart);
+  CHECK(lease.MaySendOrder(kStart));
+  LONGS_EQUAL(1, lease.CurrentFencingToken());
 }
 
-TEST(OrderLease, EndsByTheHoldersOwnClockBeforeItsDuration)
+TEST(OrderLease, StopsOrdersAMarginBeforeTheLeaseExpires)
 {
   OrderLease lease("a", {});
   lease.OnRead(0, "", kStart);
-  Take(lease, 0, kStart);
-  CHECK(lease.MayOrder(kStart + 599ms));
-  CHECK_FALSE(lease.MayOrder(kStart + 600ms));
+  TakeLease(lease, 0, kStart);
+  CHECK(lease.MaySendOrder(kStart + 599ms));
+  CHECK_FALSE(lease.MaySendOrder(kStart + 600ms));
 }
 
-TEST(OrderLease, CountsFromBeforeTheAppendWasSent)
+TEST(OrderLease, DurationStartsWhenTheAppendIsSent)
 {
   OrderLease lease("a", {});
   lease.OnRead(0, "", kStart);
   lease.OnAppendSent(kStart);
-  lease.OnAppendTaken(0, kStart + 500ms); // the answer took long
-  CHECK_FALSE(lease.MayOrder(kStart + 600ms));
+  lease.OnAppendAccepted(0, kStart + 500ms); // the answer took long
+  CHECK_FALSE(lease.MaySendOrder(kStart + 600ms));
 }
 
-TEST(OrderLease, AnothersRecordIsWaitedOutWithTheGapBetweenHolders)
+TEST(OrderLease, WaitsForAnotherHoldersLeaseAndTheHandoverGap)
 {
   OrderLease lease("b", {});
   lease.OnRead(1, "a", kStart);
@@ -67,7 +67,7 @@
   CHECK_FALSE(lease.ShouldAppend(kStart + 4000ms));
 }
 
-TEST(OrderLease, ReadingTheSameRecordAgainDoesNotStartTheWaitAnew)
+TEST(OrderLease, RereadingTheSameRecordDoesNotRestartTheWait)
 {
   OrderLease lease("b", {});
   lease.OnRead(1, "a", kStart);
@@ -75,45 +75,46 @@
   CHECK(lease.ShouldAppend(kStart + 4000ms));
 }
 
-TEST(OrderLease, AnUnsureAppendCountsOnlyIfItIsTheNewestRecord)
+TEST(OrderLease, UncertainAppendCountsOnlyIfItIsTheNewestRecord)
 {
   OrderLease lease("a", {});
   lease.OnRead(0, "", kStart);
-  Take(lease, 0, kStart);
+  TakeLease(lease, 0, kStart);
   lease.OnAppendSent(kStart + 350ms);
-  lease.OnAppendUnsure();
+  lease.OnAppendUncertain();
   CHECK(lease.NeedsRead());
   // Not taken: the newest record is still the first one, and holds no longer than it did.
   lease.OnRead(1, "a", kStart + 400ms);
-  CHECK_FALSE(lease.MayOrder(kStart + 600ms));
+  CHECK_FALSE(lease.MaySendOrder(kStart + 600ms));
   lease.OnAppendSent(kStart + 450ms);
-  lease.OnAppendUnsure();
+  lease.OnAppendUncertain();
   lease.OnRead(2, "a", kStart + 500ms);
-  CHECK(lease.MayOrder(kStart + 600ms));
-  LONGS_EQUAL(2, lease.Fence());
+  CHECK(lease.MaySendOrder(kStart + 600ms));
+  LONGS_EQUAL(2, lease.CurrentFencingToken());
 }
 
-TEST(OrderLease, AProcessThatStoodStillWaitsEvenForItsOwnRecord)
+TEST(OrderLease, SuspendedProcessWaitsForItsOwnRecordToExpire)
 {
   OrderLease lease("a", {});
   lease.OnRead(0, "", kStart);
-  Take(lease, 0, kStart);
+  TakeLease(lease, 0, kStart);
   lease.Drop();
-  CHECK_FALSE(lease.MayOrder(kStart));
+  CHECK_FALSE(lease.MaySendOrder(kStart));
   lease.OnRead(1, "a", kStart + 100ms);
-  CHECK_FALSE(lease.MayOrder(kStart + 100ms));
+  CHECK_FALSE(lease.MaySendOrder(kStart + 100ms));
   CHECK_FALSE(lease.ShouldAppend(kStart + 3900ms));
 }
 
 namespace {
 
 /// Hosts over one topic with conditional appends; each step, one of them does something.
-struct World
+struct LeaseSimulation
 {
   struct Host
   {
     OrderLease m_lease;
-    std::optional<std::uint64_t> m_lateEnd; ///< condition of an append that is still on its way
+    std::optional<std::uint64_t>
+      m_delayedAppendEnd; ///< condition of an append that is still on its way
     explicit Host(const std::string& aName)
       : m_lease(aName, {})
     {
@@ -127,42 +128,42 @@
     m_hosts[aHost].m_lease.OnRead(m_topic.size(), m_topic.empty() ? "" : m_topic.back(), aNow);
   }
 
-  void Append(std::size_t aHost, int aFate, base::TimePoint aNow)
+  void Append(std::size_t aHost, int aOutcome, base::TimePoint aNow)
   {
     Host& host = m_hosts[aHost];
     host.m_lease.OnAppendSent(aNow);
     const bool holds = host.m_lease.End() == m_topic.size();
-    if (aFate == 0 && holds) {
+    if (aOutcome == 0 && holds) {
       m_topic.push_back("h" + std::to_string(aHost));
-      host.m_lease.OnAppendTaken(m_topic.size() - 1, aNow);
+      host.m_lease.OnAppendAccepted(m_topic.size() - 1, aNow);
     } else {
-      if (aFate == 1 && holds) {
+      if (aOutcome == 1 && holds) {
         m_topic.push_back("h" + std::to_string(aHost)); // taken, but its answer is lost
-      } else if (aFate == 2) {
-        host.m_lateEnd = host.m_lease.End();
+      } else if (aOutcome == 2) {
+        host.m_delayedAppendEnd = host.m_lease.End();
       }
-      host.m_lease.OnAppendUnsure();
+      host.m_lease.OnAppendUncertain();
     }
   }
 
-  void Land(std::size_t aHost)
+  void DeliverDelayedAppend(std::size_t aHost)
   {
     Host& host = m_hosts[aHost];
-    if (host.m_lateEnd && *host.m_lateEnd == m_topic.size()) {
+    if (host.m_delayedAppendEnd && *host.m_delayedAppendEnd == m_topic.size()) {
       m_topic.push_back("h" + std::to_string(aHost));
     }
-    host.m_lateEnd.reset();
+    host.m_delayedAppendEnd.reset();
   }
 };
 
 } // namespace
 
-TEST(OrderLease, TwoHoldersAreNeverCloserThanTheGapWhateverIsLostOrLate)
+TEST(OrderLease, OrdersOfTwoHoldersAreSeparatedByTheHandoverGap)
 {
   const bool held = rc::check([] {
-    World world;
+    LeaseSimulation simulation;
     for (int i = 0; i < 3; ++i) {
-      world.m_hosts.emplace_back("h" + std::to_string(i));
+      simulation.m_hosts.emplace_back("h" + std::to_string(i));
     }
     const auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
       400,
@@ -173,22 +174,22 @@
     for (const auto& [index, action, gap] : steps) {
       now += std::chrono::milliseconds(gap);
       const auto host = static_cast<std::size_t>(index);
-      OrderLease& lease = world.m_hosts[host].m_lease;
-      world.Land(host);
+      OrderLease& lease = simulation.m_hosts[host].m_lease;
+      simulation.DeliverDelayedAppend(host);
       if (lease.NeedsRead() || action == 3) {
-        world.Read(host, now);
+        simulation.Read(host, now);
       } else if (lease.ShouldAppend(now)) {
-        world.Append(host, action, now);
+        simulation.Append(host, action, now);
       }
-      if (!lease.MayOrder(now)) {
+      if (!lease.MaySendOrder(now)) {
         continue;
       }
       if (last && last->first != host) {
         RC_ASSERT(now - last->second >= 3s);
       }
-      RC_ASSERT(lease.Fence() >= lastFence);
+      RC_ASSERT(lease.CurrentFencingToken() >= lastFence);
       last = { host, now };
-      lastFence = lease.Fence();
+      lastFence = lease.CurrentFencingToken();
     }
   });
   CHECK(held);
--- a/src/ferrytray/control/swap_planner.cpp
+++ b/src/ferrytray/control/swap_planner.cpp
@@ -8,12 +8,12 @@
                                          std::span<const WorkerVersion> aWorkers,
                                          base::TimePoint aNow)
 {
-  ForgetSettled(aWorkers, aNow);
+  RemoveSettledOrders(aWorkers, aNow);
   std::uint32_t swapping = 0;
   std::vector<const WorkerVersion*> waiting;
   for (const WorkerVersion& worker : aWorkers) {
-    const bool busy = worker.m_swapping || m_ordered.contains(worker.m_worker);
-    if (busy) {
+    const bool swapInProgress = worker.m_swapping || m_pendingOrders.contains(worker.m_worker);
+    if (swapInProgress) {
       ++swapping;
     } else if (worker.m_version != aVersion && !worker.m_leaving) {
       waiting.push_back(&worker);
@@ -28,7 +28,7 @@
       break;
     }
     ++swapping;
-    m_ordered[worker->m_worker] = { aVersion, worker->m_incarnation, aNow };
+    m_pendingOrders[worker->m_worker] = { aVersion, worker->m_incarnation, aNow };
     orders.push_back({ worker->m_worker, worker->m_incarnation, aVersion });
   }
   return orders;
@@ -36,27 +36,27 @@
 
 void SwapPlanner::Retarget(const std::string& aWorker, const std::string& aVersion)
 {
-  const auto found = m_ordered.find(aWorker);
-  if (found != m_ordered.end()) {
+  const auto found = m_pendingOrders.find(aWorker);
+  if (found != m_pendingOrders.end()) {
     found->second.m_version = aVersion;
   }
 }
 
-void SwapPlanner::ForgetSettled(std::span<const WorkerVersion> aWorkers, base::TimePoint aNow)
+void SwapPlanner::RemoveSettledOrders(std::span<const WorkerVersion> aWorkers, base::TimePoint aNow)
 {
   for (const WorkerVersion& worker : aWorkers) {
-    const auto found = m_ordered.find(worker.m_worker);
-    if (found == m_ordered.end()) {
+    const auto found = m_pendingOrders.find(worker.m_worker);
+    if (found == m_pendingOrders.end()) {
       continue;
     }
     const bool loaded = !worker.m_swapping && worker.m_version == found->second.m_version;
     const bool replaced = worker.m_incarnation != found->second.m_incarnation;
     if (loaded || replaced) {
-      m_ordered.erase(found);
+      m_pendingOrders.erase(found);
     }
   }
-  std::erase_if(m_ordered, [&](const auto& aEntry) {
-    return aEntry.second.m_at + m_options.m_confirmTimeout <= aNow;
+  std::erase_if(m_pendingOrders, [&](const auto& aEntry) {
+    return aEntry.second.m_plannedAt + m_options.m_confirmTimeout <= aNow;
   });
 }
 
--- a/src/ferrytray/keeper/half_controller.cpp
+++ b/src/ferrytray/keeper/half_controller.cpp
@@ -93,9 +93,9 @@
   for (const config::HalfRule* rule : aRules) {
     const control::HalfView view = wire::HalfViewOf(*rule, EpochsOf(rule->m_name));
     const std::string mark = rule->m_name + "@" + std::to_string(rule->m_epoch);
-    if (control::MayRecordEnd(view, EveryGateDrained(mark, aListed, aMembers))) {
+    if (control::MayRecordEpochEnd(view, EveryGateDrained(mark, aListed, aMembers))) {
       Record(kGiven, rule->m_name, rule->m_epoch);
-    } else if (control::MustAskOther(view)) {
+    } else if (control::MustQueryOtherHalf(view)) {
       AskOther(*rule);
     }
   }
--- a/src/ferrytray/keeper/swap_controller.cpp
+++ b/src/ferrytray/keeper/swap_controller.cpp
@@ -19,15 +19,15 @@
   return "swap/" + aFleet;
 }
 
-control::HolderOptions HolderOptionsOf(const KeeperOptions& aOptions)
+control::LeaseHolderOptions HolderOptionsOf(const KeeperOptions& aOptions)
 {
   constexpr int kRenewalsPerLease = 3;
   constexpr int kSendsPerLease = 5;
   constexpr int kMarginsPerLease = 18;
-  control::HolderOptions options;
+  control::LeaseHolderOptions options;
   options.m_duration = aOptions.m_lease;
   options.m_renewEvery = aOptions.m_lease / kRenewalsPerLease;
-  options.m_longestSend = aOptions.m_lease / kSendsPerLease;
+  options.m_maxSendTime = aOptions.m_lease / kSendsPerLease;
   options.m_clockMargin = aOptions.m_lease / kMarginsPerLease;
   return options;
 }
@@ -145,13 +145,13 @@
                                 const std::vector<wire::EndpointStatus>& aEndpoints,
                                 base::TimePoint aNow)
 {
-  if (!aControl.m_holder.MayOrder(aFleet.m_checksFencing, aNow)) {
+  if (!aControl.m_holder.MaySendOrder(aFleet.m_checksFencing, aNow)) {
     return;
   }
-  if (aControl.m_plannedUnder != aControl.m_holder.Fence()) {
+  if (aControl.m_plannedUnder != aControl.m_holder.CurrentFencingToken()) {
     // A new holder knows nothing of earlier orders and reads the actual state instead.
     aControl.m_planner.Reset();
-    aControl.m_plannedUnder = aControl.m_holder.Fence();
+    aControl.m_plannedUnder = aControl.m_holder.CurrentFencingToken();
   }
   aControl.m_planner.SetMaxConcurrent(aFleet.m_maxConcurrentSwaps);
   const auto workers = WorkersOf(aFleet.m_name, aEndpoints);
@@ -173,23 +173,23 @@
                                const std::string& aAddress)
 {
   const FleetControl& fleetControl = m_fleets.at(aFleet.m_name);
-  if (!fleetControl.m_holder.MayOrder(aFleet.m_checksFencing, base::MonotonicNow())) {
+  if (!fleetControl.m_holder.MaySendOrder(aFleet.m_checksFencing, base::MonotonicNow())) {
     return;
   }
   telemetry::LogLine("swap_order")
     .Add("fleet", aFleet.m_name)
     .Add("worker", aOrder.m_worker)
     .Add("version", aOrder.m_version)
-    .Add("fence", fleetControl.m_holder.Fence());
+    .Add("fence", fleetControl.m_holder.CurrentFencingToken());
   net::ClientRequest request;
   request.m_method = "POST";
   request.m_url = "http://" + aAddress + "/orders";
   request.m_body = nlohmann::json{
     { "version", aOrder.m_version },
     { "incarnation", aOrder.m_incarnation },
-    { "fence", fleetControl.m_holder.Fence() }
+    { "fence", fleetControl.m_holder.CurrentFencingToken() }
   }.dump();
-  request.m_timeout = m_holderOptions.m_longestSend;
+  request.m_timeout = m_holderOptions.m_maxSendTime;
   request.m_ownConnection = true;
   m_http.Fetch(
     std::move(request),
--- a/src/ferrytray/rollout/rollout_driver.cpp
+++ b/src/ferrytray/rollout/rollout_driver.cpp
@@ -79,7 +79,7 @@
     return;
   }
   KeepLease(now);
-  if (!m_lease.MayOrder(now)) {
+  if (!m_lease.MaySendOrder(now)) {
     return;
   }
   for (const auto& [model, version] : m_wanted) {
@@ -134,7 +134,7 @@
 
 void RolloutDriver::KeepLease(base::TimePoint aNow)
 {
-  const bool watch = !m_lease.MayOrder(aNow) && aNow >= m_readAt + m_options.m_watchEvery;
+  const bool watch = !m_lease.MaySendOrder(aNow) && aNow >= m_readAt + m_options.m_watchEvery;
   if (m_lease.NeedsRead() || (watch && !m_lease.ShouldAppend(aNow))) {
     ReadLease();
   } else if (m_lease.ShouldAppend(aNow)) {
@@ -171,22 +171,22 @@
 void RolloutDriver::AppendLease(base::TimePoint aNow)
 {
   m_lease.OnAppendSent(aNow);
-  const bool held = m_lease.MayOrder(aNow);
+  const bool held = m_lease.MaySendOrder(aNow);
   m_log.Append(m_options.m_topic,
                m_options.m_self,
                m_lease.End(),
                [this, held](base::Result<store::AppendResult> aResult) {
                  if (aResult && aResult->m_taken) {
-                   m_lease.OnAppendTaken(aResult->m_offset, base::MonotonicNow());
+                   m_lease.OnAppendAccepted(aResult->m_offset, base::MonotonicNow());
                    m_wasHolder = true;
                  } else {
-                   m_lease.OnAppendUnsure();
+                   m_lease.OnAppendUncertain();
                  }
                  const bool taken = aResult && aResult->m_taken;
                  if (!held || !taken) {
                    telemetry::LogLine("order_lease")
                      .Add("outcome", taken ? "taken" : (aResult ? "lost_race" : "unsure"))
-                     .Add("fence", m_lease.Fence());
+                     .Add("fence", m_lease.CurrentFencingToken());
                  }
                  if (!taken) {
                    m_wasHolder = false;
@@ -230,14 +230,15 @@
     return std::stoul(aLeft.m_version) < std::stoul(aRight.m_version);
   });
   auto [planner, isNew] = m_planners.try_emplace(
-    aModel, control::SwapOptions{ .m_maxConcurrent = 1, .m_confirmTimeout = kConfirmWithin });
+    aModel,
+    control::SwapPlannerOptions{ .m_maxConcurrent = 1, .m_confirmTimeout = kConfirmWithin });
   planner->second.SetMaxConcurrent(WidthFor(aModel, workers.size(), aNow));
   const std::string wanted = std::to_string(aVersion);
   for (const control::SwapOrder& order : planner->second.Plan(wanted, workers, aNow)) {
     Announce(order, aModel, aNow);
   }
   for (const control::WorkerVersion& worker : workers) {
-    const bool underWay = worker.m_swapping || planner->second.IsOrdered(worker.m_worker);
+    const bool underWay = worker.m_swapping || planner->second.HasPendingOrder(worker.m_worker);
     if (worker.m_version != wanted && underWay) {
       AskState(worker.m_worker, aModel, aNow);
     }
--- a/src/ferrytray/rollout/rollout_orders.cpp
+++ b/src/ferrytray/rollout/rollout_orders.cpp
@@ -103,7 +103,7 @@
                          base::TimePoint aUntil)
 {
   if (m_onReload) {
-    const std::uint64_t revision = (m_lease.Fence() << kRevisionBits) + ++m_revision;
+    const std::uint64_t revision = (m_lease.CurrentFencingToken() << kRevisionBits) + ++m_revision;
     m_onReload({ aIncarnation, aModel, m_wanted.at(aModel), aUntil, revision });
   }
 }
@@ -182,7 +182,8 @@
     *endpoint, aModel, [this, aIncarnation, aModel, aVersion](std::optional<EngineState> aState) {
       const fleet::Endpoint* engine = m_directory.Find(aIncarnation);
       const bool stillWanted = m_wanted.at(aModel) == aVersion;
-      if (!aState || engine == nullptr || !stillWanted || !m_lease.MayOrder(base::MonotonicNow())) {
+      if (!aState || engine == nullptr || !stillWanted ||
+          !m_lease.MaySendOrder(base::MonotonicNow())) {
         Tell(aIncarnation, aModel, base::MonotonicNow());
         return; // the planner orders again after kConfirmWithin
       }
@@ -191,7 +192,7 @@
       order.m_model = aModel;
       order.m_version = aVersion;
       order.m_holder = m_options.m_self;
-      order.m_fence = m_lease.Fence();
+      order.m_fence = m_lease.CurrentFencingToken();
       order.m_expectedOrders = aState->m_ordersTaken;
       m_sink.Send(*engine, order, [this, aIncarnation, order](OrderReply aReply) {
         OnOrdered(aIncarnation, order, aReply);
--- a/src/ferrytray/wire/half_view.cpp
+++ b/src/ferrytray/wire/half_view.cpp
@@ -4,24 +4,24 @@
 
 namespace {
 
-control::HalfWish WishOf(config::Owner aOwner)
+control::DesiredOwner DesiredOwnerOf(config::Owner aOwner)
 {
   switch (aOwner) {
     case config::Owner::Here:
-      return control::HalfWish::Here;
+      return control::DesiredOwner::Here;
     case config::Owner::HandingOver:
-      return control::HalfWish::HandingOver;
+      return control::DesiredOwner::HandingOver;
     case config::Owner::There:
       break;
   }
-  return control::HalfWish::There;
+  return control::DesiredOwner::There;
 }
 
 } // namespace
 
 control::HalfView HalfViewOf(const config::HalfRule& aRule, const HalfEpochs& aEpochs)
 {
-  return { WishOf(aRule.m_owner), aRule.m_epoch, aEpochs.m_given, aEpochs.m_received };
+  return { DesiredOwnerOf(aRule.m_owner), aRule.m_epoch, aEpochs.m_given, aEpochs.m_received };
 }
 
 } // namespace ferrytray::wire
--- a/tests/suspension_test.cpp
+++ b/tests/suspension_test.cpp
@@ -53,12 +53,12 @@
   control::OrderLease lease("self", {});
   lease.OnRead(0, "", base::MonotonicNow());
   lease.OnAppendSent(base::MonotonicNow());
-  lease.OnAppendTaken(0, base::MonotonicNow());
+  lease.OnAppendAccepted(0, base::MonotonicNow());
   const std::optional<base::TimePoint> heardAt = base::MonotonicNow();
-  CHECK(lease.MayOrder(base::MonotonicNow()));
+  CHECK(lease.MaySendOrder(base::MonotonicNow()));
   CHECK_FALSE(base::MayBeBehind(heardAt, 2s, base::MonotonicNow()));
   g_suspendedSeconds = 5;
-  CHECK_FALSE(lease.MayOrder(base::MonotonicNow()));
+  CHECK_FALSE(lease.MaySendOrder(base::MonotonicNow()));
   CHECK(base::MayBeBehind(heardAt, 2s, base::MonotonicNow()));
 }
 
