--- a/include/ferrytray/control/lease.hpp
+++ b/include/ferrytray/control/lease.hpp
@@ -10,18 +10,18 @@
 
 namespace ferrytray::control {
 
-/// @brief The log offset at which a lease was taken; orders carry it, a higher one wins.
+/// @brief Log offset at which a lease was taken. Orders carry it; a higher one supersedes a lower.
 using FencingToken = std::uint64_t;
 
-/// @brief One host's request for leases, one log record for all of them.
+/// @brief Log record by which a host takes or renews a set of leases.
 struct LeaseRecord
 {
   std::string m_holder;              ///< host and incarnation
-  std::vector<std::string> m_leases; ///< names of those taken or renewed
-  base::Duration m_duration{};       ///< from the platform's time of the record
+  std::vector<std::string> m_leases; ///< names
+  base::Duration m_duration{};       ///< from the record's platform time
 };
 
-/// @brief Who holds a lease.
+/// @brief A lease's holder, fencing token and expiry.
 struct HeldLease
 {
   std::string m_holder;
@@ -29,10 +29,10 @@
   base::Duration m_expires{}; ///< platform time
 };
 
-/// @brief Replays the log's lease stream; every reader agrees.
+/// @brief Replays the log's lease stream; all readers reach the same state.
 ///
-/// A record takes a lease iff it is free by the platform's time of that record, or is the
-/// holder's own. A renewal keeps the fencing number.
+/// A record takes a lease if the lease has expired at the record's platform time or already belongs
+/// to the record's holder. A renewal keeps the fencing token.
 class LeaseTable
 {
 public:
@@ -47,13 +47,14 @@
 {
   base::Duration m_duration = std::chrono::seconds(9);
   base::Duration m_renewEvery = std::chrono::seconds(3);
-  base::Duration m_maxSendTime = std::chrono::seconds(2); ///< after which an order is dropped
+  base::Duration m_maxSendTime = std::chrono::seconds(2); ///< an order is dropped after this time
   base::Duration m_clockMargin = std::chrono::milliseconds(500);
 };
 
-/// @brief One host's own view of one lease, by its monotonic clock.
+/// @brief One host's view of one lease, by its monotonic clock.
 ///
-/// Counted from before the append was sent, so it ends here before it ends anywhere else.
+/// The duration is counted from before the append was sent, so the holder considers the lease
+/// expired before any other host does.
 class LeaseHolder
 {
 public:
@@ -63,20 +64,19 @@
   {
   }
 
-  /// @brief Whether to append a record now, to take or to renew the lease.
-  /// @param aHeld who holds it by the log, if anyone
+  /// @brief Whether to append a record now to take or renew the lease.
+  /// @param aHeld the lease according to the log, if it was taken
   /// @param aPlatformNow the platform's clock as last read
   [[nodiscard]] bool ShouldAppend(const std::optional<HeldLease>& aHeld,
                                   base::Duration aPlatformNow,
                                   base::TimePoint aNow) const;
   /// @brief An append is about to be sent.
   void OnAppendSent(base::TimePoint aNow);
-  /// @brief One's own record was read back.
-  /// @param aSentAt when it was sent
+  /// @brief This host's own record was read back from the log.
   void OnReadBack(const std::optional<HeldLease>& aHeld, base::TimePoint aNow);
 
-  /// @brief Whether an order may be sent at this moment. Check just before the send.
-  /// @param aChecksFencing whether the endpoint refuses old fencing numbers itself
+  /// @brief Whether an order may be sent now. Must be checked immediately before each send.
+  /// @param aChecksFencing whether the endpoint itself refuses old fencing tokens
   [[nodiscard]] bool MaySendOrder(bool aChecksFencing, base::TimePoint aNow) const;
   [[nodiscard]] FencingToken CurrentFencingToken() const { return m_fencingToken; }
 
--- a/include/ferrytray/control/leaving_set.hpp
+++ b/include/ferrytray/control/leaving_set.hpp
@@ -7,10 +7,10 @@
 
 namespace ferrytray::control {
 
-/// @brief Endpoints that leave, by incarnation: the union of every sign of it.
+/// @brief Set of endpoint incarnations that are leaving, merged from all sources.
 ///
-/// The platform's list, a peer's report, the endpoint's own refusal and an operator's drain all
-/// count, and none takes another back. A new incarnation starts clean.
+/// Sources are the platform's list, peers' reports, the endpoint's own refusal and an operator's
+/// drain. No source can revoke another's entry. A new incarnation is not leaving.
 class LeavingSet
 {
 public:
@@ -24,7 +24,7 @@
     return m_leaving.contains({ aEndpoint, aIncarnation });
   }
 
-  /// @brief Drops endpoints that the platform lists under another incarnation now.
+  /// @brief Removes endpoints that the platform now lists under another incarnation.
   void Prune(const std::map<std::string, std::string>& aCurrent)
   {
     std::erase_if(m_leaving, [&](const auto& aPair) {
--- a/include/ferrytray/control/swap_planner.hpp
+++ b/include/ferrytray/control/swap_planner.hpp
@@ -10,18 +10,18 @@
 
 namespace ferrytray::control {
 
-/// @brief A worker as its last report shows it.
+/// @brief State of a worker according to its last report.
 struct WorkerVersion
 {
   std::string m_worker;
   std::string m_incarnation;
-  std::string m_version; ///< loaded now; empty while it swaps
+  std::string m_version; ///< currently loaded; empty during a swap
   bool m_swapping = false;
   bool m_leaving = false;
   std::uint32_t m_queuedMillis = 0;
 };
 
-/// @brief "Run this version": absolute, so that repeating it is harmless.
+/// @brief Order to run a version. Idempotent, since it names the target version.
 struct SwapOrder
 {
   std::string m_worker;
@@ -33,13 +33,14 @@
 {
   std::uint32_t m_maxConcurrent = 1;
   base::Duration m_confirmTimeout =
-    std::chrono::seconds(30); ///< after which an order is sent again
+    std::chrono::seconds(30); ///< an unconfirmed order is planned again after this time
 };
 
-/// @brief Decides which workers of a fleet are ordered to swap next.
+/// @brief Selects the workers of a fleet to swap next.
 ///
-/// A worker counts as swapping from its order until a report shows it swapped or failed, so lag
-/// in the reports cannot let too many swap at once.
+/// A worker counts as swapping from its order until a report shows the new version or a new
+/// incarnation, or until the confirm timeout, so that delayed reports cannot cause too many
+/// concurrent swaps.
 class SwapPlanner
 {
 public:
@@ -50,17 +51,18 @@
 
   void SetMaxConcurrent(std::uint32_t aMax) { m_options.m_maxConcurrent = aMax; }
 
-  /// @brief Level-triggered: compares what should run with what does. Workers with the least queued
-  /// go first; of like ones, those that come first in the list.
-  /// @param aWorkers the fleet's workers in every availability zone
+  /// @brief Compares the target version with the loaded ones and returns the next orders. Workers
+  /// with the shortest queue come first; ties keep the order of aWorkers.
+  /// @param aWorkers the fleet's workers in all availability zones
   std::vector<SwapOrder> Plan(const std::string& aVersion,
                               std::span<const WorkerVersion> aWorkers,
                               base::TimePoint aNow);
-  /// @brief Forgets orders sent (a new holder reads the actual state instead).
+  /// @brief Discards pending orders; a new lease holder starts from the reported state.
   void Reset() { m_pendingOrders.clear(); }
-  /// @brief An order that was planned names another version when it is sent.
+  /// @brief Changes the version of a pending order, for an order that is sent with another version
+  /// than planned.
   void Retarget(const std::string& aWorker, const std::string& aVersion);
-  /// @brief Whether a worker was ordered and has not been seen to have swapped.
+  /// @brief Whether a worker has an order that no report has confirmed.
   [[nodiscard]] bool HasPendingOrder(const std::string& aWorker) const
   {
     return m_pendingOrders.contains(aWorker);
--- a/src/ferrytray/control/control_test.cpp
+++ b/src/ferrytray/control/control_test.cpp
@@ -85,8 +85,8 @@
   CHECK_FALSE(holder.MaySendOrder(true, kStart + 1s));
 }
 
-// Two hosts, any interleaving of appends, reads, pauses and orders, with clocks that run alike:
-// the moments at which each may order an endpoint that ignores fencing numbers never overlap.
+// Two hosts with clocks of equal rate and any interleaving of appends, reads, pauses and orders:
+// the times at which they may order an endpoint that ignores fencing tokens never overlap.
 TEST(Lease, OrdersOfTwoHoldersNeverOverlapWithoutFencing)
 {
   const bool holds = rc::check("lease exclusion", [] {
@@ -108,7 +108,7 @@
         holders[who].OnReadBack(log.Find("swap/lab"), at);
       }
       if (step % 3 != 0 && holders[who].MaySendOrder(false, at)) {
-        // An order takes effect up to the longest send later.
+        // An order may take effect up to the maximum send time later.
         RC_ASSERT(lastOrder[1 - who] + 2s < now);
         lastOrder[who] = now;
       }
@@ -185,21 +185,21 @@
   CHECK(control::MayServe({ DesiredOwner::Here, 1, 0, 0 }));
   CHECK_FALSE(control::MayServe({ DesiredOwner::Here, 1, 1, 0 }));
   CHECK_FALSE(control::MayServe({ DesiredOwner::HandingOver, 1, 0, 0 }));
-  // Who ended epoch 1 cannot own epoch 2, but epoch 3 once the other has ended 2.
+  // The half that ended epoch 1 cannot own epoch 2, but owns epoch 3 once the other has ended 2.
   CHECK_FALSE(control::MayServe({ DesiredOwner::Here, 2, 1, 0 }));
   CHECK(control::MayServe({ DesiredOwner::Here, 3, 1, 2 }));
   CHECK(control::MustQueryOtherHalf({ DesiredOwner::Here, 2, 0, 0 }));
 }
 
-// Both halves, operators that write any file, gates that take it up late, records that travel late
-// or never: no epoch is served by both, and never both at once.
+// Operators change the configured owner at any time, gates apply it late, and records reach the
+// other half late or never: both halves must never serve at the same time.
 TEST(HalfRule, HalvesNeverServeAtTheSameTime)
 {
   const bool holds = rc::check("one half serves", [] {
     struct Half
     {
-      control::HalfView m_log;      // the rule in force by the log
-      control::HalfView m_gates[2]; // what each gate has taken up
+      control::HalfView m_log;      // the state according to the log
+      control::HalfView m_gates[2]; // the state applied by each gate
     };
     Half halves[2];
     halves[1].m_log.m_desiredOwner = control::DesiredOwner::There;
@@ -215,7 +215,7 @@
       control::HalfView& gate = half.m_gates[(step / 2) % 2];
       switch ((step / 4) % 5) {
         case 0: {
-          // Operators follow the epochs: a taker asks for the next one only.
+          // Operators follow the epoch order: a half that takes over requests the next one only.
           const bool take = half.m_log.m_desiredOwner == control::DesiredOwner::There;
           const std::uint64_t epoch =
             std::max(half.m_log.m_lastEndedEpoch, other.m_log.m_lastEndedEpoch);
--- a/src/ferrytray/control/lease.cpp
+++ b/src/ferrytray/control/lease.cpp
@@ -11,7 +11,8 @@
     if (!free && !own) {
       continue;
     }
-    // A lapsed lease gets a new number even for its old holder: another may have read it as free.
+    // An expired lease gets a new token even for its old holder, since another host may already
+    // have seen it as free.
     if (free) {
       lease.m_fencingToken = aOffset;
     }
@@ -64,7 +65,8 @@
   if (m_fencingToken == 0 || aNow + m_options.m_maxSendTime >= m_validUntil) {
     return false;
   }
-  // The last holder may be paused within a send that such an endpoint would still obey.
+  // The previous holder may be paused during a send, and an endpoint that does not check fencing
+  // tokens would still obey it.
   const base::TimePoint settled = m_heldSince + m_options.m_duration + m_options.m_maxSendTime;
   return aChecksFencing || aNow >= settled;
 }
--- a/src/ferrytray/control/order_lease.cpp
+++ b/src/ferrytray/control/order_lease.cpp
@@ -12,7 +12,8 @@
     return;
   }
   if (aHolder == m_self && m_sentAt) {
-    // Nobody came after this host. Its unsure append counts only if it is that newest record.
+    // No other host has taken the lease. An uncertain append counts only if it is the newest
+    // record.
     if (aEnd > m_fencingToken) {
       m_fencingToken = aEnd;
       m_heldSince = m_sentAt;
--- a/src/ferrytray/control/order_lease_test.cpp
+++ b/src/ferrytray/control/order_lease_test.cpp
@@ -15,7 +15,7 @@
 
 const base::TimePoint kStart = base::TimePoint(base::Duration(1'000'000));
 
-/// Takes the lease at once on an empty topic.
+/// Appends the lease's record successfully at aOffset.
 void TakeLease(OrderLease& aLease, std::uint64_t aOffset, base::TimePoint aNow)
 {
   aLease.OnAppendSent(aNow);
@@ -53,7 +53,7 @@
   OrderLease lease("a", {});
   lease.OnRead(0, "", kStart);
   lease.OnAppendSent(kStart);
-  lease.OnAppendAccepted(0, kStart + 500ms); // the answer took long
+  lease.OnAppendAccepted(0, kStart + 500ms); // a slow reply
   CHECK_FALSE(lease.MaySendOrder(kStart + 600ms));
 }
 
@@ -83,7 +83,7 @@
   lease.OnAppendSent(kStart + 350ms);
   lease.OnAppendUncertain();
   CHECK(lease.NeedsRead());
-  // Not taken: the newest record is still the first one, and holds no longer than it did.
+  // The append was refused: the first record is still the newest and is not extended.
   lease.OnRead(1, "a", kStart + 400ms);
   CHECK_FALSE(lease.MaySendOrder(kStart + 600ms));
   lease.OnAppendSent(kStart + 450ms);
@@ -107,14 +107,13 @@
 
 namespace {
 
-/// Hosts over one topic with conditional appends; each step, one of them does something.
+/// Simulates hosts that share one topic with conditional appends.
 struct LeaseSimulation
 {
   struct Host
   {
     OrderLease m_lease;
-    std::optional<std::uint64_t>
-      m_delayedAppendEnd; ///< condition of an append that is still on its way
+    std::optional<std::uint64_t> m_delayedAppendEnd; ///< expected end of a delayed append
     explicit Host(const std::string& aName)
       : m_lease(aName, {})
     {
@@ -138,7 +137,7 @@
       host.m_lease.OnAppendAccepted(m_topic.size() - 1, aNow);
     } else {
       if (aOutcome == 1 && holds) {
-        m_topic.push_back("h" + std::to_string(aHost)); // taken, but its answer is lost
+        m_topic.push_back("h" + std::to_string(aHost)); // appended, but the reply is lost
       } else if (aOutcome == 2) {
         host.m_delayedAppendEnd = host.m_lease.End();
       }
