--- a/include/ferrytray/membership/member.hpp
+++ b/include/ferrytray/membership/member.hpp
@@ -34,7 +34,7 @@
 };
 
 /// @brief What changes all the time of a member; the rest is told seldom.
-struct MemberPulse
+struct MemberHeartbeat
 {
   std::string m_host;
   std::uint64_t m_incarnation = 0;
@@ -65,7 +65,7 @@
 {
   std::string m_from;
   std::vector<Member> m_members; ///< the sender first, then some whose addresses are news
-  std::vector<MemberPulse> m_pulses;
+  std::vector<MemberHeartbeat> m_heartbeats;
   std::vector<LoadDigest> m_loads;
   std::vector<DemandDigest> m_demands;
   std::vector<std::pair<std::string, std::string>> m_leaving; ///< endpoint, incarnation
--- a/include/ferrytray/membership/member_table.hpp
+++ b/include/ferrytray/membership/member_table.hpp
@@ -18,11 +18,11 @@
   base::Duration m_suspectAfter = std::chrono::seconds(3);
   base::Duration m_deadAfter = std::chrono::seconds(10);
   base::Duration m_forgetAfter = std::chrono::minutes(10);
-  std::size_t m_zonePeers = 1;           ///< peers of one's zone told in each round
-  std::size_t m_rowsPerMessage = 2;      ///< whole rows besides one's own
-  std::size_t m_pulsesPerMessage = 10;   ///< with the rows this bounds a datagram
-  std::uint64_t m_newsRounds = 20;       ///< how long a row's addresses are told on
-  std::uint32_t m_remoteEveryRounds = 4; ///< every so many rounds one peer of another zone
+  std::size_t m_zonePeersPerRound = 1;      ///< peers of one's zone told in each round
+  std::size_t m_membersPerMessage = 2;      ///< whole rows besides one's own
+  std::size_t m_heartbeatsPerMessage = 10;  ///< with the rows this bounds a datagram
+  std::uint64_t m_addressUpdateRounds = 20; ///< how long a row's addresses are told on
+  std::uint32_t m_remoteZoneInterval = 4;   ///< every so many rounds one peer of another zone
 };
 
 /// @brief A datagram to send.
@@ -67,26 +67,26 @@
   [[nodiscard]] std::vector<Member> Live() const;
   [[nodiscard]] const Member* Find(const std::string& aHost) const;
   /// @brief The member where a gate incarnation's tickets live, if known.
-  [[nodiscard]] const Member* TicketHome(const std::string& aIncarnation) const;
-  [[nodiscard]] std::uint64_t DroppedMessages() const { return m_dropped; }
+  [[nodiscard]] const Member* FindTicketHolder(const std::string& aIncarnation) const;
+  [[nodiscard]] std::uint64_t DroppedMessages() const { return m_droppedMessages; }
 
 private:
   struct Row
   {
     Member m_member;
-    base::TimePoint m_heard;
-    std::uint64_t m_changed = 0; ///< round of its last heartbeat, for choosing pulses
-    std::uint64_t m_news = 0;    ///< round in which its addresses last changed
+    base::TimePoint m_lastHeardAt;
+    std::uint64_t m_lastHeartbeatRound = 0;  ///< round of its last heartbeat, for choosing pulses
+    std::uint64_t m_addressChangedRound = 0; ///< round in which its addresses last changed
   };
 
   Member& Self() { return m_rows.at(m_self).m_member; }
   void Merge(const Member& aTheirs, base::TimePoint aNow);
-  void Merge(const MemberPulse& aTheirs, base::TimePoint aNow);
-  void AddNews(GossipMessage& aMessage);
-  void AddPulses(GossipMessage& aMessage);
-  void Judge(base::TimePoint aNow);
+  void Merge(const MemberHeartbeat& aTheirs, base::TimePoint aNow);
+  void AddAddressUpdates(GossipMessage& aMessage);
+  void AddHeartbeats(GossipMessage& aMessage);
+  void UpdateStates(base::TimePoint aNow);
   std::vector<std::string> PickPeers();
-  GossipMessage Compose();
+  GossipMessage ComposeMessage();
 
   std::string m_self;
   MembershipOptions m_options;
@@ -94,9 +94,9 @@
   std::map<std::string, Row> m_rows;
   std::set<std::string> m_allowedIps;
   std::uint64_t m_round = 0;
-  std::uint64_t m_dropped = 0;
-  std::string m_cursor;
-  std::string m_newsCursor;
+  std::uint64_t m_droppedMessages = 0;
+  std::string m_heartbeatCursor;
+  std::string m_addressCursor;
 };
 
 } // namespace ferrytray::membership
--- a/src/ferrytray/membership/member_table.cpp
+++ b/src/ferrytray/membership/member_table.cpp
@@ -28,18 +28,19 @@
          aLeft.m_drained != aRight.m_drained;
 }
 
-bool StaysLeaving(const Member& aMember, std::uint64_t aIncarnation)
+bool IsLeavingIncarnation(const Member& aMember, std::uint64_t aIncarnation)
 {
   return aMember.m_state == MemberState::Leaving && aMember.m_incarnation == aIncarnation;
 }
 
 /// A heartbeat proves life, whatever the teller thought.
-MemberState Heard(bool aStaysLeaving, MemberState aTold)
+MemberState StateAfterHeartbeat(bool aIsLeaving, MemberState aReported)
 {
-  return aStaysLeaving || aTold == MemberState::Leaving ? MemberState::Leaving : MemberState::Alive;
+  return aIsLeaving || aReported == MemberState::Leaving ? MemberState::Leaving
+                                                         : MemberState::Alive;
 }
 
-bool MayUse(const Member& aMember)
+bool IsUsable(const Member& aMember)
 {
   return aMember.m_state != MemberState::Dead;
 }
@@ -72,13 +73,13 @@
                             base::TimePoint aNow)
 {
   if (!m_allowedIps.contains(aFromIp)) {
-    ++m_dropped;
+    ++m_droppedMessages;
     return false;
   }
   for (const Member& theirs : aMessage.m_members) {
     Merge(theirs, aNow);
   }
-  for (const MemberPulse& theirs : aMessage.m_pulses) {
+  for (const MemberHeartbeat& theirs : aMessage.m_heartbeats) {
     Merge(theirs, aNow);
   }
   return true;
@@ -96,16 +97,16 @@
     return;
   }
   if (DiffersInAddresses(aTheirs, row.m_member)) {
-    row.m_news = m_round;
+    row.m_addressChangedRound = m_round;
   }
-  const bool leaving = StaysLeaving(row.m_member, aTheirs.m_incarnation);
+  const bool leaving = IsLeavingIncarnation(row.m_member, aTheirs.m_incarnation);
   row.m_member = aTheirs;
-  row.m_member.m_state = Heard(leaving, aTheirs.m_state);
-  row.m_heard = aNow;
-  row.m_changed = m_round;
+  row.m_member.m_state = StateAfterHeartbeat(leaving, aTheirs.m_state);
+  row.m_lastHeardAt = aNow;
+  row.m_lastHeartbeatRound = m_round;
 }
 
-void MemberTable::Merge(const MemberPulse& aTheirs, base::TimePoint aNow)
+void MemberTable::Merge(const MemberHeartbeat& aTheirs, base::TimePoint aNow)
 {
   const auto found = m_rows.find(aTheirs.m_host);
   const bool known =
@@ -116,34 +117,34 @@
     return;
   }
   Row& row = found->second;
-  const bool leaving = StaysLeaving(row.m_member, aTheirs.m_incarnation);
+  const bool leaving = IsLeavingIncarnation(row.m_member, aTheirs.m_incarnation);
   row.m_member.m_heartbeat = aTheirs.m_heartbeat;
   row.m_member.m_position = aTheirs.m_position;
-  row.m_member.m_state = Heard(leaving, aTheirs.m_state);
-  row.m_heard = aNow;
-  row.m_changed = m_round;
+  row.m_member.m_state = StateAfterHeartbeat(leaving, aTheirs.m_state);
+  row.m_lastHeardAt = aNow;
+  row.m_lastHeartbeatRound = m_round;
 }
 
 std::vector<GossipSend> MemberTable::OnRound(base::TimePoint aNow)
 {
   ++m_round;
   ++Self().m_heartbeat;
-  m_rows.at(m_self).m_heard = aNow;
-  m_rows.at(m_self).m_changed = m_round;
-  Judge(aNow);
+  m_rows.at(m_self).m_lastHeardAt = aNow;
+  m_rows.at(m_self).m_lastHeartbeatRound = m_round;
+  UpdateStates(aNow);
   std::vector<GossipSend> sends;
-  const GossipMessage message = Compose();
+  const GossipMessage message = ComposeMessage();
   for (const std::string& peer : PickPeers()) {
     sends.push_back({ peer, message });
   }
   return sends;
 }
 
-void MemberTable::Judge(base::TimePoint aNow)
+void MemberTable::UpdateStates(base::TimePoint aNow)
 {
   for (auto it = m_rows.begin(); it != m_rows.end();) {
     Row& row = it->second;
-    const base::Duration silent = aNow - row.m_heard;
+    const base::Duration silent = aNow - row.m_lastHeardAt;
     if (it->first != m_self && silent > m_options.m_forgetAfter) {
       it = m_rows.erase(it);
       continue;
@@ -159,83 +160,84 @@
 
 std::vector<std::string> MemberTable::PickPeers()
 {
-  std::vector<std::string> near;
-  std::vector<std::string> far;
+  std::vector<std::string> peers;
+  std::vector<std::string> remotePeers;
   for (const auto& [host, row] : m_rows) {
     if (host == m_self) {
       continue;
     }
     const bool sameZone = row.m_member.m_zone == Self().m_zone;
-    (sameZone ? near : far).push_back(row.m_member.m_gossip);
+    (sameZone ? peers : remotePeers).push_back(row.m_member.m_gossip);
   }
-  std::shuffle(near.begin(), near.end(), m_random);
-  std::shuffle(far.begin(), far.end(), m_random);
-  near.resize(std::min(near.size(), m_options.m_zonePeers));
+  std::shuffle(peers.begin(), peers.end(), m_random);
+  std::shuffle(remotePeers.begin(), remotePeers.end(), m_random);
+  peers.resize(std::min(peers.size(), m_options.m_zonePeersPerRound));
   // A host alone in its zone has nobody else to tell it of the others.
-  const bool remoteTurn = near.empty() || m_round % m_options.m_remoteEveryRounds == 0;
-  if (remoteTurn && !far.empty()) {
-    near.push_back(far.front());
+  const bool includeRemote = peers.empty() || m_round % m_options.m_remoteZoneInterval == 0;
+  if (includeRemote && !remotePeers.empty()) {
+    peers.push_back(remotePeers.front());
   }
-  return near;
+  return peers;
 }
 
-GossipMessage MemberTable::Compose()
+GossipMessage MemberTable::ComposeMessage()
 {
   GossipMessage message;
   message.m_from = m_self;
   message.m_members.push_back(Self());
-  AddNews(message);
-  AddPulses(message);
+  AddAddressUpdates(message);
+  AddHeartbeats(message);
   return message;
 }
 
-void MemberTable::AddNews(GossipMessage& aMessage)
+void MemberTable::AddAddressUpdates(GossipMessage& aMessage)
 {
   // Addresses that changed lately, in turn.
   for (std::size_t step = 0; step < m_rows.size(); ++step) {
-    if (aMessage.m_members.size() > m_options.m_rowsPerMessage) {
+    if (aMessage.m_members.size() > m_options.m_membersPerMessage) {
       return;
     }
-    auto next = m_rows.upper_bound(m_newsCursor);
+    auto next = m_rows.upper_bound(m_addressCursor);
     next = next == m_rows.end() ? m_rows.begin() : next;
-    m_newsCursor = next->first;
+    m_addressCursor = next->first;
     const Row& row = next->second;
-    const bool isNews = row.m_news + m_options.m_newsRounds >= m_round;
-    if (next->first != m_self && isNews && MayUse(row.m_member)) {
+    const bool changedRecently =
+      row.m_addressChangedRound + m_options.m_addressUpdateRounds >= m_round;
+    if (next->first != m_self && changedRecently && IsUsable(row.m_member)) {
       aMessage.m_members.push_back(row.m_member);
     }
   }
 }
 
-void MemberTable::AddPulses(GossipMessage& aMessage)
+void MemberTable::AddHeartbeats(GossipMessage& aMessage)
 {
   std::vector<const Row*> rows;
   for (const auto& [host, row] : m_rows) {
-    if (host != m_self && MayUse(row.m_member)) {
+    if (host != m_self && IsUsable(row.m_member)) {
       rows.push_back(&row);
     }
   }
   // The freshest first; a cursor through the rest so that each host is told of in turn.
   std::sort(rows.begin(), rows.end(), [](const Row* aLeft, const Row* aRight) {
-    return aLeft->m_changed > aRight->m_changed;
+    return aLeft->m_lastHeartbeatRound > aRight->m_lastHeartbeatRound;
   });
   const auto add = [&](const Member& aMember) {
-    aMessage.m_pulses.push_back({ aMember.m_host,
-                                  aMember.m_incarnation,
-                                  aMember.m_heartbeat,
-                                  aMember.m_position,
-                                  aMember.m_state });
+    aMessage.m_heartbeats.push_back({ aMember.m_host,
+                                      aMember.m_incarnation,
+                                      aMember.m_heartbeat,
+                                      aMember.m_position,
+                                      aMember.m_state });
   };
-  const std::size_t room = std::min(rows.size(), m_options.m_pulsesPerMessage);
-  const std::size_t fresh = (room + 1) / 2;
-  for (std::size_t i = 0; i < fresh; ++i) {
+  const std::size_t count = std::min(rows.size(), m_options.m_heartbeatsPerMessage);
+  const std::size_t newest = (count + 1) / 2;
+  for (std::size_t i = 0; i < newest; ++i) {
     add(rows[i]->m_member);
   }
-  for (std::size_t i = fresh; i < room; ++i) {
-    auto next = m_rows.upper_bound(m_cursor);
+  for (std::size_t i = newest; i < count; ++i) {
+    auto next = m_rows.upper_bound(m_heartbeatCursor);
     next = next == m_rows.end() ? m_rows.begin() : next;
-    m_cursor = next->first;
-    if (MayUse(next->second.m_member) && next->first != m_self) {
+    m_heartbeatCursor = next->first;
+    if (IsUsable(next->second.m_member) && next->first != m_self) {
       add(next->second.m_member);
     }
   }
@@ -251,7 +253,7 @@
 {
   std::vector<Member> live;
   for (const auto& [host, row] : m_rows) {
-    if (MayUse(row.m_member)) {
+    if (IsUsable(row.m_member)) {
       live.push_back(row.m_member);
     }
   }
@@ -264,19 +266,19 @@
   return found == m_rows.end() ? nullptr : &found->second.m_member;
 }
 
-const Member* MemberTable::TicketHome(const std::string& aIncarnation) const
+const Member* MemberTable::FindTicketHolder(const std::string& aIncarnation) const
 {
-  const Member* home = nullptr;
+  const Member* holder = nullptr;
   for (const auto& [host, row] : m_rows) {
     const auto& tickets = row.m_member.m_tickets;
     const bool has = std::find(tickets.begin(), tickets.end(), aIncarnation) != tickets.end();
     // The last of the list of adopters is where a handed-over table went.
-    if (has && MayUse(row.m_member) &&
-        (home == nullptr || row.m_member.m_state == MemberState::Alive)) {
-      home = &row.m_member;
+    if (has && IsUsable(row.m_member) &&
+        (holder == nullptr || row.m_member.m_state == MemberState::Alive)) {
+      holder = &row.m_member;
     }
   }
-  return home;
+  return holder;
 }
 
 } // namespace ferrytray::membership
--- a/src/ferrytray/membership/member_table_test.cpp
+++ b/src/ferrytray/membership/member_table_test.cpp
@@ -15,7 +15,7 @@
 
 const base::TimePoint kStart{ 1000s };
 
-Member HostNumber(int aNumber, std::uint64_t aIncarnation = 1)
+Member MakeHost(int aNumber, std::uint64_t aIncarnation = 1)
 {
   Member member;
   member.m_host = "h" + std::to_string(aNumber);
@@ -32,50 +32,52 @@
   explicit FakeNetwork(int aHosts)
   {
     for (int i = 1; i <= aHosts; ++i) {
-      m_list.push_back(HostNumber(i));
+      m_hostList.push_back(MakeHost(i));
     }
     for (int i = 1; i <= aHosts; ++i) {
       m_tables.push_back(
-        std::make_unique<MemberTable>(HostNumber(i), membership::MembershipOptions{}, i));
-      m_tables.back()->OnHostList(m_list, kStart);
+        std::make_unique<MemberTable>(MakeHost(i), membership::MembershipOptions{}, i));
+      m_tables.back()->OnHostList(m_hostList, kStart);
     }
   }
 
-  void Rounds(int aCount)
+  void RunRounds(int aCount)
   {
     for (int round = 0; round < aCount; ++round) {
       m_now += 500ms;
       for (std::size_t i = 0; i < m_tables.size(); ++i) {
-        Deliver(i);
+        RunRound(i);
       }
     }
   }
 
-  void Deliver(std::size_t aFrom)
+  void RunRound(std::size_t aFrom)
   {
     if (m_tables[aFrom] == nullptr) {
       return;
     }
     for (const auto& send : m_tables[aFrom]->OnRound(m_now)) {
-      m_rowsSent += send.m_message.m_members.size() + send.m_message.m_pulses.size();
+      m_entriesSent += send.m_message.m_members.size() + send.m_message.m_heartbeats.size();
       for (std::size_t to = 0; to < m_tables.size(); ++to) {
-        const bool cut = m_cutZone == m_list[to].m_zone || m_cutZone == m_list[aFrom].m_zone;
-        const bool crosses = m_list[to].m_zone != m_list[aFrom].m_zone;
-        if (m_tables[to] != nullptr && m_list[to].m_gossip == send.m_to && !(cut && crosses)) {
+        const bool partitioned = m_partitionedZone == m_hostList[to].m_zone ||
+                                 m_partitionedZone == m_hostList[aFrom].m_zone;
+        const bool crosses = m_hostList[to].m_zone != m_hostList[aFrom].m_zone;
+        if (m_tables[to] != nullptr && m_hostList[to].m_gossip == send.m_to &&
+            !(partitioned && crosses)) {
           m_tables[to]->OnMessage(send.m_message, "10.0.0." + std::to_string(aFrom + 1), m_now);
         }
       }
     }
   }
 
-  std::vector<Member> m_list;
+  std::vector<Member> m_hostList;
   std::vector<std::unique_ptr<MemberTable>> m_tables;
-  std::string m_cutZone;
-  std::size_t m_rowsSent = 0;
+  std::string m_partitionedZone;
+  std::size_t m_entriesSent = 0;
   base::TimePoint m_now = kStart;
 };
 
-int CountIn(const MemberTable& aTable, MemberState aState)
+int CountInState(const MemberTable& aTable, MemberState aState)
 {
   int count = 0;
   for (const Member& member : aTable.Live()) {
@@ -88,83 +90,84 @@
 
 TEST_GROUP(MemberTable){};
 
-TEST(MemberTable, EveryHostLearnsOfEveryOther)
+TEST(MemberTable, AllHostsDiscoverEachOther)
 {
   FakeNetwork network(12);
-  network.Rounds(30);
+  network.RunRounds(30);
   for (const auto& table : network.m_tables) {
-    LONGS_EQUAL(12, CountIn(*table, MemberState::Alive));
+    LONGS_EQUAL(12, CountInState(*table, MemberState::Alive));
   }
 }
 
-TEST(MemberTable, ADeadHostIsNoticedEverywhereAndAReplacementIsTakenIn)
+TEST(MemberTable, DetectsADeadHostAndAcceptsItsReplacement)
 {
   FakeNetwork network(9);
-  network.Rounds(30);
+  network.RunRounds(30);
   network.m_tables[4] = nullptr;
-  network.Rounds(60);
+  network.RunRounds(60);
   CHECK(network.m_tables[0]->Find("h5")->m_state == MemberState::Dead);
   network.m_tables[4] =
-    std::make_unique<MemberTable>(HostNumber(5, 2), membership::MembershipOptions{}, 99);
-  network.m_tables[4]->OnHostList(network.m_list, network.m_now);
-  network.Rounds(30);
+    std::make_unique<MemberTable>(MakeHost(5, 2), membership::MembershipOptions{}, 99);
+  network.m_tables[4]->OnHostList(network.m_hostList, network.m_now);
+  network.RunRounds(30);
   CHECK(network.m_tables[0]->Find("h5")->m_state == MemberState::Alive);
   LONGS_EQUAL(2, network.m_tables[0]->Find("h5")->m_incarnation);
 }
 
-TEST(MemberTable, ACutZoneIsLostAndFoundAgain)
+TEST(MemberTable, PartitionedZoneIsMarkedDeadAndRejoins)
 {
   FakeNetwork network(9);
-  network.Rounds(30);
-  network.m_cutZone = "z1";
-  network.Rounds(60);
+  network.RunRounds(30);
+  network.m_partitionedZone = "z1";
+  network.RunRounds(60);
   CHECK(network.m_tables[1]->Find("h1")->m_state == MemberState::Dead);
   CHECK(network.m_tables[0]->Find("h2")->m_state == MemberState::Dead);
-  network.m_cutZone.clear();
-  network.Rounds(60);
+  network.m_partitionedZone.clear();
+  network.RunRounds(60);
   for (const auto& table : network.m_tables) {
-    LONGS_EQUAL(9, CountIn(*table, MemberState::Alive));
+    LONGS_EQUAL(9, CountInState(*table, MemberState::Alive));
   }
 }
 
-TEST(MemberTable, LeavingIsForGoodForThatIncarnation)
+TEST(MemberTable, LeavingIsPermanentForAnIncarnation)
 {
   FakeNetwork network(4);
-  network.Rounds(20);
+  network.RunRounds(20);
   network.m_tables[2]->Leave();
-  network.Rounds(20);
+  network.RunRounds(20);
   CHECK(network.m_tables[0]->Find("h3")->m_state == MemberState::Leaving);
-  auto alive = HostNumber(3);
+  auto alive = MakeHost(3);
   alive.m_heartbeat = 100000;
   network.m_tables[0]->OnMessage({ "h3", { alive }, {}, {}, {}, {} }, "10.0.0.3", network.m_now);
   CHECK(network.m_tables[0]->Find("h3")->m_state == MemberState::Leaving);
 }
 
-TEST(MemberTable, ADatagramFromOutsideTheHostListIsDroppedAndCounted)
+TEST(MemberTable, DropsAndCountsDatagramsFromUnlistedAddresses)
 {
   FakeNetwork network(3);
-  auto stranger = HostNumber(77);
+  auto unlisted = MakeHost(77);
   CHECK_FALSE(
-    network.m_tables[0]->OnMessage({ "h77", { stranger }, {}, {}, {}, {} }, "10.0.0.77", kStart));
+    network.m_tables[0]->OnMessage({ "h77", { unlisted }, {}, {}, {}, {} }, "10.0.0.77", kStart));
   LONGS_EQUAL(1, network.m_tables[0]->DroppedMessages());
   CHECK(network.m_tables[0]->Find("h77") == nullptr);
 }
 
-TEST(MemberTable, RowsARoundDoNotGrowWithTheHosts)
+TEST(MemberTable, EntriesPerRoundDoNotGrowWithTheNumberOfHosts)
 {
   const membership::MembershipOptions options;
   FakeNetwork network(60);
-  network.Rounds(10);
-  const std::size_t perHostRound = network.m_rowsSent / (10 * 60);
-  CHECK(perHostRound <=
-        (options.m_zonePeers + 1) * (1 + options.m_rowsPerMessage + options.m_pulsesPerMessage));
+  network.RunRounds(10);
+  const std::size_t entriesPerHostAndRound = network.m_entriesSent / (10 * 60);
+  CHECK(entriesPerHostAndRound <=
+        (options.m_zonePeersPerRound + 1) *
+          (1 + options.m_membersPerMessage + options.m_heartbeatsPerMessage));
 }
 
-TEST(MemberTable, TicketsAreFoundWhereTheyWentTo)
+TEST(MemberTable, FindsTheHolderOfHandedOverTickets)
 {
   FakeNetwork network(3);
   network.m_tables[1]->SetTickets({ "h2-1", "h1-1" });
-  network.Rounds(20);
-  STRCMP_EQUAL("h2", network.m_tables[0]->TicketHome("h1-1")->m_host.c_str());
-  CHECK(network.m_tables[0]->TicketHome("nobody") == nullptr);
+  network.RunRounds(20);
+  STRCMP_EQUAL("h2", network.m_tables[0]->FindTicketHolder("h1-1")->m_host.c_str());
+  CHECK(network.m_tables[0]->FindTicketHolder("nobody") == nullptr);
 }
--- a/src/ferrytray/wire/frames.cpp
+++ b/src/ferrytray/wire/frames.cpp
@@ -63,7 +63,7 @@
 } // namespace
 
 template<typename Archive>
-void serialize(Archive& aArchive, MemberPulse& aPulse)
+void serialize(Archive& aArchive, MemberHeartbeat& aPulse)
 {
   Shorts(aArchive, aPulse.m_host);
   aArchive(aPulse.m_incarnation, aPulse.m_heartbeat, aPulse.m_position, aPulse.m_state);
