--- a/include/ferrytray/membership/member_table.hpp
+++ b/include/ferrytray/membership/member_table.hpp
@@ -18,38 +18,39 @@
   base::Duration m_suspectAfter = std::chrono::seconds(3);
   base::Duration m_deadAfter = std::chrono::seconds(10);
   base::Duration m_forgetAfter = std::chrono::minutes(10);
-  std::size_t m_zonePeersPerRound = 1;      ///< peers of one's zone told in each round
-  std::size_t m_membersPerMessage = 2;      ///< whole rows besides one's own
-  std::size_t m_heartbeatsPerMessage = 10;  ///< with the rows this bounds a datagram
-  std::uint64_t m_addressUpdateRounds = 20; ///< how long a row's addresses are told on
-  std::uint32_t m_remoteZoneInterval = 4;   ///< every so many rounds one peer of another zone
+  std::size_t m_zonePeersPerRound = 1;      ///< peers in this zone that a round sends to
+  std::size_t m_membersPerMessage = 2;      ///< complete entries besides the sender's
+  std::size_t m_heartbeatsPerMessage = 10;  ///< with m_membersPerMessage, bounds a datagram
+  std::uint64_t m_addressUpdateRounds = 20; ///< rounds for which changed addresses are sent
+  std::uint32_t m_remoteZoneInterval = 4;   ///< rounds between sends to another zone
 };
 
-/// @brief A datagram to send.
+/// @brief A datagram to be sent.
 struct GossipSend
 {
   std::string m_to; ///< IP:PORT
   GossipMessage m_message;
 };
 
-/// @brief Who is there, by heartbeats passed on between keepers.
+/// @brief Membership table maintained by heartbeat gossip between keepers.
 ///
-/// In the zone every round, to other zones now and then. The bytes a second are bounded by the
-/// rows in a datagram and the datagrams in a round, whatever the number of hosts.
+/// Each round sends to peers in this host's zone, every few rounds also to one in another zone.
+/// Traffic is bounded by the entries per datagram and the datagrams per round, independently of the
+/// number of hosts.
 class MemberTable
 {
 public:
-  /// @param aSelf this host; its incarnation must be higher than any before
+  /// @param aSelf this host; its incarnation must be higher than all its earlier ones
   MemberTable(Member aSelf, MembershipOptions aOptions, std::uint64_t aSeed);
 
-  /// @brief The platform's host list: the addresses that may speak, and first peers.
+  /// @brief Adds the platform's host list: allowed sender addresses and initial peers.
   void OnHostList(const std::vector<Member>& aHosts, base::TimePoint aNow);
-  /// @brief A datagram came. @return false when it was dropped (sender not on the host list)
+  /// @brief Merges a datagram. @return false if it was dropped (sender not on the host list)
   bool OnMessage(const GossipMessage& aMessage, const std::string& aFromIp, base::TimePoint aNow);
-  /// @brief One round: heartbeat, suspicion, and what to send.
+  /// @brief Runs one round: increments the heartbeat, updates states, returns datagrams to send.
   std::vector<GossipSend> OnRound(base::TimePoint aNow);
 
-  /// @brief Tells the others of a planned stop.
+  /// @brief Announces this host's planned shutdown.
   void Leave();
   void SetPosition(std::uint64_t aPosition) { Self().m_position = aPosition; }
   void SetTickets(std::vector<std::string> aIncarnations)
@@ -63,10 +64,10 @@
     Self().m_gateControl = aControl;
   }
 
-  /// @brief Members in use (alive, suspect or leaving), this host included.
+  /// @brief Returns the members that are not dead, this host included.
   [[nodiscard]] std::vector<Member> Live() const;
   [[nodiscard]] const Member* Find(const std::string& aHost) const;
-  /// @brief The member where a gate incarnation's tickets live, if known.
+  /// @brief Returns the member that holds a gate incarnation's tickets, if known.
   [[nodiscard]] const Member* FindTicketHolder(const std::string& aIncarnation) const;
   [[nodiscard]] std::uint64_t DroppedMessages() const { return m_droppedMessages; }
 
@@ -75,8 +76,8 @@
   {
     Member m_member;
     base::TimePoint m_lastHeardAt;
-    std::uint64_t m_lastHeartbeatRound = 0;  ///< round of its last heartbeat, for choosing pulses
-    std::uint64_t m_addressChangedRound = 0; ///< round in which its addresses last changed
+    std::uint64_t m_lastHeartbeatRound = 0;  ///< for selecting heartbeats to send
+    std::uint64_t m_addressChangedRound = 0; ///< for selecting address updates to send
   };
 
   Member& Self() { return m_rows.at(m_self).m_member; }
--- a/src/ferrytray/membership/member_table.cpp
+++ b/src/ferrytray/membership/member_table.cpp
@@ -33,7 +33,8 @@
   return aMember.m_state == MemberState::Leaving && aMember.m_incarnation == aIncarnation;
 }
 
-/// A heartbeat proves life, whatever the teller thought.
+/// A newer heartbeat proves that the member is alive, even if the sender reports it as suspect or
+/// dead.
 MemberState StateAfterHeartbeat(bool aIsLeaving, MemberState aReported)
 {
   return aIsLeaving || aReported == MemberState::Leaving ? MemberState::Leaving
@@ -60,7 +61,7 @@
 {
   for (const Member& host : aHosts) {
     m_allowedIps.insert(IpOf(host.m_gossip));
-    // The list lags, so it only seeds; heartbeats say who lives.
+    // The host list lags, so it only adds initial peers; heartbeats determine liveness.
     const auto [entry, added] = m_rows.try_emplace(host.m_host, Row{ host, aNow, m_round, 0 });
     if (added) {
       entry->second.m_member.m_state = MemberState::Suspect;
@@ -111,7 +112,7 @@
   const auto found = m_rows.find(aTheirs.m_host);
   const bool known =
     found != m_rows.end() && found->second.m_member.m_incarnation == aTheirs.m_incarnation;
-  // A pulse of a process not met yet says nothing without its addresses.
+  // A heartbeat of an unknown incarnation is ignored because its addresses are not known.
   if (aTheirs.m_host == m_self || !known ||
       aTheirs.m_heartbeat <= found->second.m_member.m_heartbeat) {
     return;
@@ -172,7 +173,7 @@
   std::shuffle(peers.begin(), peers.end(), m_random);
   std::shuffle(remotePeers.begin(), remotePeers.end(), m_random);
   peers.resize(std::min(peers.size(), m_options.m_zonePeersPerRound));
-  // A host alone in its zone has nobody else to tell it of the others.
+  // A host that is alone in its zone learns of the others only from remote zones.
   const bool includeRemote = peers.empty() || m_round % m_options.m_remoteZoneInterval == 0;
   if (includeRemote && !remotePeers.empty()) {
     peers.push_back(remotePeers.front());
@@ -192,7 +193,7 @@
 
 void MemberTable::AddAddressUpdates(GossipMessage& aMessage)
 {
-  // Addresses that changed lately, in turn.
+  // Sends recently changed addresses in round-robin order.
   for (std::size_t step = 0; step < m_rows.size(); ++step) {
     if (aMessage.m_members.size() > m_options.m_membersPerMessage) {
       return;
@@ -217,7 +218,8 @@
       rows.push_back(&row);
     }
   }
-  // The freshest first; a cursor through the rest so that each host is told of in turn.
+  // Half of the entries are the most recent heartbeats. The others follow a cursor over all
+  // members, so that each is sent in turn.
   std::sort(rows.begin(), rows.end(), [](const Row* aLeft, const Row* aRight) {
     return aLeft->m_lastHeartbeatRound > aRight->m_lastHeartbeatRound;
   });
@@ -272,7 +274,8 @@
   for (const auto& [host, row] : m_rows) {
     const auto& tickets = row.m_member.m_tickets;
     const bool has = std::find(tickets.begin(), tickets.end(), aIncarnation) != tickets.end();
-    // The last of the list of adopters is where a handed-over table went.
+    // Several members may list the incarnation after a hand-over; prefers the last one that is
+    // alive.
     if (has && IsUsable(row.m_member) &&
         (holder == nullptr || row.m_member.m_state == MemberState::Alive)) {
       holder = &row.m_member;
--- a/src/ferrytray/membership/member_table_test.cpp
+++ b/src/ferrytray/membership/member_table_test.cpp
@@ -25,7 +25,7 @@
   return member;
 }
 
-/// A hand-written fake network: delivers every datagram at once unless its end is cut.
+/// Fake network that delivers datagrams immediately, except into or out of a partitioned zone.
 class FakeNetwork
 {
 public:
