--- a/include/ferrytray/quarantine/served_table.hpp
+++ b/include/ferrytray/quarantine/served_table.hpp
@@ -8,30 +8,31 @@
 
 namespace ferrytray::quarantine {
 
-/// @brief Requests that were answered whole lately, in a fixed number of places. Pure.
+/// @brief Fixed-size hash table of recently completed requests. Performs no I/O.
 ///
-/// A newer request takes the place of an older one, so what it says is right but not complete.
+/// A newer request overwrites the one in its slot, so a lookup may miss a completed request but
+/// does not report one that never completed.
 class ServedTable
 {
 public:
-  explicit ServedTable(std::size_t aPlaces)
-    : m_places(aPlaces, 0)
+  explicit ServedTable(std::size_t aSlotCount)
+    : m_slots(aSlotCount, 0)
   {
   }
 
-  void Add(const RequestKey& aRequest) { m_places[PlaceOf(aRequest)] = aRequest.m_high; }
+  void Add(const RequestKey& aRequest) { m_slots[SlotOf(aRequest)] = aRequest.m_high; }
   [[nodiscard]] bool Contains(const RequestKey& aRequest) const
   {
-    return m_places[PlaceOf(aRequest)] == aRequest.m_high;
+    return m_slots[SlotOf(aRequest)] == aRequest.m_high;
   }
 
 private:
-  [[nodiscard]] std::size_t PlaceOf(const RequestKey& aRequest) const
+  [[nodiscard]] std::size_t SlotOf(const RequestKey& aRequest) const
   {
-    return aRequest.m_low % m_places.size();
+    return aRequest.m_low % m_slots.size();
   }
 
-  std::vector<std::uint64_t> m_places;
+  std::vector<std::uint64_t> m_slots;
 };
 
 } // namespace ferrytray::quarantine
