--- a/include/ferrytray/peers/fallback_reader.hpp
+++ b/include/ferrytray/peers/fallback_reader.hpp
@@ -15,10 +15,10 @@
 {
   /// Between two questions while nobody could help: when the log is away for all, each host would
   /// otherwise ask at each tick.
-  base::Duration m_retry = std::chrono::milliseconds(600);
+  base::Duration m_retryInterval = std::chrono::milliseconds(600);
   /// A host that helped is asked on for so long after the log last failed here, so that records do
   /// not stop while this host tries the log again.
-  base::Duration m_stayFor = std::chrono::seconds(4);
+  base::Duration m_holdTime = std::chrono::seconds(4);
 };
 
 /// @brief Whom a host asks for the log's records when neither it nor the reader that it follows has
@@ -35,23 +35,23 @@
 
   /// @param aReaders in an order that stays the same
   /// @param aSource the reader that is followed anyway, or empty
-  /// @param aLost whether this host has no contact with the log now
+  /// @param aLogLost whether this host has no contact with the log now
   [[nodiscard]] std::optional<Peer> Pick(std::span<const Peer> aReaders,
                                          std::string_view aSource,
-                                         bool aLost,
+                                         bool aLogLost,
                                          base::TimePoint aNow);
   /// @brief It was asked and had records from the log, or not.
   void OnAnswer(std::string_view aName, bool aUsable);
   /// @brief Whether a host is relied on: the reader that is followed cannot end it by having none.
-  [[nodiscard]] bool Helped() const { return m_helps; }
+  [[nodiscard]] bool IsActive() const { return m_active; }
   [[nodiscard]] const std::string& Name() const { return m_name; }
 
 private:
   FallbackOptions m_options;
   std::string m_name; ///< asked last
-  bool m_helps = false;
-  std::size_t m_position = 0;
-  std::optional<base::TimePoint> m_lostAt;
+  bool m_active = false;
+  std::size_t m_nextIndex = 0;
+  std::optional<base::TimePoint> m_logLostAt;
   std::optional<base::TimePoint> m_askedAt;
 };
 
--- a/include/ferrytray/peers/load_board.hpp
+++ b/include/ferrytray/peers/load_table.hpp
@@ -33,17 +33,17 @@
   Summary, ///< its own and those of the hosts that report to it
 };
 
-struct LoadBoardOptions
+struct LoadTableOptions
 {
   /// What was not told again for so long is forgotten: several times the interval of reports.
-  base::Duration m_forgetAfter = std::chrono::milliseconds(1500);
+  base::Duration m_expireAfter = std::chrono::milliseconds(1500);
 };
 
 /// @brief What other hosts have open at endpoints, as they last told. Pure.
-class LoadBoard
+class LoadTable
 {
 public:
-  explicit LoadBoard(LoadBoardOptions aOptions = {})
+  explicit LoadTable(LoadTableOptions aOptions = {})
     : m_options(aOptions)
   {
   }
@@ -56,24 +56,24 @@
   void Expire(base::TimePoint aNow);
 
   /// @brief Open work of all other hosts at an endpoint.
-  [[nodiscard]] std::uint32_t Others(EndpointTag aEndpoint) const;
+  [[nodiscard]] std::uint32_t RemoteLoad(EndpointTag aEndpoint) const;
   /// @brief All that is known, without what one host told itself.
-  [[nodiscard]] EndpointLoads AllBut(const std::string& aHost) const;
+  [[nodiscard]] EndpointLoads AllExcept(const std::string& aHost) const;
   /// @brief What hosts told of their own requests, together.
-  [[nodiscard]] EndpointLoads OwnReports() const;
+  [[nodiscard]] EndpointLoads OwnScopeTotals() const;
 
 private:
   struct Report
   {
     LoadScope m_scope = LoadScope::Own;
     EndpointLoads m_loads;
-    base::TimePoint m_at;
+    base::TimePoint m_reportedAt;
   };
   using Totals = std::unordered_map<EndpointTag, std::uint32_t>;
 
   void Subtract(const Report& aReport);
 
-  LoadBoardOptions m_options;
+  LoadTableOptions m_options;
   std::map<std::string, Report> m_reports; ///< by host
   Totals m_totals;
 };
--- a/include/ferrytray/peers/messages.hpp
+++ b/include/ferrytray/peers/messages.hpp
@@ -5,20 +5,20 @@
 #include <string_view> // for string_view
 #include <vector>      // for vector
 
-#include "ferrytray/base/error.hpp"             // for Result
-#include "ferrytray/cache/contents_digest.hpp"  // for ContentsCursor, ContentsDigest
-#include "ferrytray/peers/load_board.hpp"       // for EndpointLoads, LoadScope
-#include "ferrytray/peers/reload_board.hpp"     // for ReloadNotices
-#include "ferrytray/peers/replaced_board.hpp"   // for ReplacedNotices
-#include "ferrytray/peers/roster.hpp"           // for Peer
-#include "ferrytray/quarantine/crash_board.hpp" // for CrashNotices, Suspicion
-#include "ferrytray/quarantine/notice_log.hpp"  // for NoticeNumber
-#include "ferrytray/store/topic_news.hpp"       // for TopicCursor, TopicNews
+#include "ferrytray/base/error.hpp"              // for Result
+#include "ferrytray/cache/contents_digest.hpp"   // for ContentsCursor, ContentsDigest
+#include "ferrytray/peers/load_table.hpp"        // for EndpointLoads, LoadScope
+#include "ferrytray/peers/reload_table.hpp"      // for ReloadNotices
+#include "ferrytray/peers/replacement_table.hpp" // for ReplacementNotices
+#include "ferrytray/peers/roster.hpp"            // for Peer
+#include "ferrytray/quarantine/crash_board.hpp"  // for CrashNotices, Suspicion
+#include "ferrytray/quarantine/notice_log.hpp"   // for NoticeNumber
+#include "ferrytray/store/topic_news.hpp"        // for TopicCursor, TopicNews
 
 namespace ferrytray::peers {
 
 /// @brief One host asks another for what it does not know yet.
-struct NewsRequest
+struct SyncRequest
 {
   Peer m_sender;
   std::uint64_t m_incarnation = 0;              ///< of the other host, to which the cursors belong
@@ -26,16 +26,16 @@
   std::vector<store::TopicCursor> m_topics;     ///< that it follows through the other host
   LoadScope m_scope = LoadScope::Own;
   EndpointLoads m_loads;   ///< of this scope
-  bool m_lostLog = false;  ///< it cannot read the log itself
+  bool m_logLost = false;  ///< it cannot read the log itself
   ReloadNotices m_reloads; ///< that it ordered or heard of, if it is a reader
-  ReplacedNotices m_replaced;
+  ReplacementNotices m_replaced;
   quarantine::CrashNotices m_crashes; ///< that it has not told the other host yet
   /// Up to where it knows the other host's notices of this kind; for Own scope.
   quarantine::NoticeNumber m_crashesFrom = 0;
 };
 
 /// @brief The answer.
-struct NewsReply
+struct SyncReply
 {
   std::uint64_t m_incarnation = 0; ///< of the host that answers
   std::vector<store::TopicNews> m_topics;
@@ -43,21 +43,21 @@
   /// To a host that tells its own load: all others'. To one that tells a summary: this host's.
   EndpointLoads m_loads;
   ReloadNotices m_reloads; ///< that it knows of
-  ReplacedNotices m_replaced;
+  ReplacementNotices m_replaced;
   std::vector<Peer> m_readers;        ///< hosts of the asking one's zone that read for others
   quarantine::CrashNotices m_crashes; ///< to a host that tells its own load
   quarantine::NoticeNumber m_crashesNext = 0; ///< comes after these
 };
 
 std::string Encode(const Peer& aPeer);
-std::string Encode(const NewsRequest& aRequest);
-std::string Encode(const NewsReply& aReply);
+std::string Encode(const SyncRequest& aRequest);
+std::string Encode(const SyncReply& aReply);
 /// @brief What the record log keeps of a request that ends endpoints.
 std::string Encode(const quarantine::Suspicion& aSuspicion);
 /// @return PeerMalformed when the bytes are anything else
 base::Result<Peer> DecodePeer(std::string_view aBytes);
-base::Result<NewsRequest> DecodeNewsRequest(std::string_view aBytes);
-base::Result<NewsReply> DecodeNewsReply(std::string_view aBytes);
+base::Result<SyncRequest> DecodeSyncRequest(std::string_view aBytes);
+base::Result<SyncReply> DecodeSyncReply(std::string_view aBytes);
 base::Result<quarantine::Suspicion> DecodeSuspicion(std::string_view aBytes);
 
 } // namespace ferrytray::peers
--- a/include/ferrytray/peers/reload_board.hpp
+++ b/include/ferrytray/peers/reload_table.hpp
@@ -6,7 +6,7 @@
 #include <vector>  // for vector
 
 #include "ferrytray/base/time.hpp"        // for Duration, TimePoint
-#include "ferrytray/peers/load_board.hpp" // for EndpointTag
+#include "ferrytray/peers/load_table.hpp" // for EndpointTag
 
 namespace ferrytray::peers {
 
@@ -31,25 +31,25 @@
   std::uint32_t m_version = 0;
 };
 
-struct ReloadBoardOptions
+struct ReloadTableOptions
 {
   /// An ended reload is kept for so long, so that all hosts hear of its end: two questions between
   /// hosts, and one that was missed.
-  base::Duration m_keepFor = std::chrono::milliseconds(2500);
+  base::Duration m_retention = std::chrono::milliseconds(2500);
   /// A notice with a later end is no reload: weights take a second or a few.
-  base::Duration m_longest = std::chrono::seconds(60);
+  base::Duration m_maxDuration = std::chrono::seconds(60);
   /// Engines whose reload is known at once; more are dropped, so that memory stays bounded.
-  std::size_t m_most = 4096;
+  std::size_t m_maxEntries = 4096;
 };
 
 /// @brief Which engines are about to load weights or do so now, as whoever orders it told. Pure.
 ///
 /// An engine rejects what reaches it while it loads. A host sends an engine a request every few
 /// seconds, so by its own rejections it would learn of a reload when that is over.
-class ReloadBoard
+class ReloadTable
 {
 public:
-  explicit ReloadBoard(ReloadBoardOptions aOptions = {})
+  explicit ReloadTable(ReloadTableOptions aOptions = {})
     : m_options(aOptions)
   {
   }
@@ -70,12 +70,12 @@
   {
     std::string m_model;
     std::uint32_t m_version = 0;
-    base::TimePoint m_until;
+    base::TimePoint m_endsAt;
     std::uint64_t m_revision = 0;
-    bool m_endTold = false; ///< by TakeEnded()
+    bool m_endReported = false; ///< by TakeEnded()
   };
 
-  ReloadBoardOptions m_options;
+  ReloadTableOptions m_options;
   std::map<EndpointTag, Reload> m_reloads;
 };
 
--- a/include/ferrytray/peers/replaced_board.hpp
+++ b/include/ferrytray/peers/replacement_table.hpp
@@ -17,20 +17,20 @@
 IncarnationKey KeyOf(std::string_view aIncarnation);
 
 /// @brief Another endpoint answered at an incarnation's address.
-struct ReplacedNotice
+struct ReplacementNotice
 {
   IncarnationKey m_incarnation = 0;
   std::int32_t m_ageMillis = 0; ///< since a host found it; hosts have no common clock
 };
 
-using ReplacedNotices = std::vector<ReplacedNotice>;
+using ReplacementNotices = std::vector<ReplacementNotice>;
 
-struct ReplacedBoardOptions
+struct ReplacementTableOptions
 {
   /// Passed on for so long: by then the directory no longer lists a crashed endpoint.
-  base::Duration m_keepFor = std::chrono::milliseconds(5000);
+  base::Duration m_retention = std::chrono::milliseconds(5000);
   /// Known at once; more are dropped, so that memory stays bounded.
-  std::size_t m_most = 4096;
+  std::size_t m_maxEntries = 4096;
 };
 
 /// @brief Which incarnations are gone, as some host found. Pure.
@@ -38,23 +38,23 @@
 /// An endpoint that starts anew at its address rejects what is sent to its former life. The
 /// directory tells of that some seconds later; until then each host would find out by a rejected
 /// request of its own, and those count as repeats against the budget of all hosts.
-class ReplacedBoard
+class ReplacementTable
 {
 public:
-  explicit ReplacedBoard(ReplacedBoardOptions aOptions = {})
+  explicit ReplacementTable(ReplacementTableOptions aOptions = {})
     : m_options(aOptions)
   {
   }
 
   /// @return whether it was not known
-  bool OnNotice(const ReplacedNotice& aNotice, base::TimePoint aNow);
+  bool OnNotice(const ReplacementNotice& aNotice, base::TimePoint aNow);
   /// @brief All that is known, to pass on.
-  [[nodiscard]] ReplacedNotices Notices(base::TimePoint aNow) const;
+  [[nodiscard]] ReplacementNotices Notices(base::TimePoint aNow) const;
   /// @brief Forgets what was found long ago.
   void Expire(base::TimePoint aNow);
 
 private:
-  ReplacedBoardOptions m_options;
+  ReplacementTableOptions m_options;
   std::map<IncarnationKey, base::TimePoint> m_foundAt;
 };
 
--- a/include/ferrytray/peers/roster.hpp
+++ b/include/ferrytray/peers/roster.hpp
@@ -28,8 +28,8 @@
   /// Hosts that read from each KV store. A store answers 12 readers at once on the users' sites;
   /// the rest is for hosts that take over and for those that were just replaced.
   std::size_t m_readers = 8;
-  base::Duration m_avoidFirst = std::chrono::milliseconds(1000); ///< after a peer did not answer
-  base::Duration m_avoidMost = std::chrono::milliseconds(16000);
+  base::Duration m_backoffMin = std::chrono::milliseconds(1000); ///< after a peer did not answer
+  base::Duration m_backoffMax = std::chrono::milliseconds(16000);
 };
 
 /// @brief The hosts that this one knows of, and which of them it asks for news. Pure.
@@ -46,9 +46,9 @@
   {
   }
 
-  void Learn(const Peer& aPeer);
-  void OnAnswered(const std::string& aName);
-  void OnMissed(const std::string& aName, base::TimePoint aNow);
+  void AddOrUpdate(const Peer& aPeer);
+  void OnRequestSucceeded(const std::string& aName);
+  void OnRequestFailed(const std::string& aName, base::TimePoint aNow);
 
   /// @brief Whom this host asks; empty: it reads from the stores itself.
   [[nodiscard]] std::optional<Peer> Source(base::TimePoint aNow) const;
@@ -57,25 +57,25 @@
   /// @brief Those that read for the hosts of a zone.
   [[nodiscard]] std::vector<Peer> ReadersOf(const std::string& aZone, base::TimePoint aNow) const;
   /// @brief The first by rank of a zone's hosts, or of all if the zone is empty; may be this one.
-  [[nodiscard]] Peer First(const std::string& aZone, base::TimePoint aNow) const;
+  [[nodiscard]] Peer HighestRanked(const std::string& aZone, base::TimePoint aNow) const;
   /// @brief Whether this host is among the first so many of all known hosts by a hash of that name,
   /// reachable or not, so that hosts agree.
-  [[nodiscard]] bool IsAmong(std::string_view aName, std::size_t aFirst) const;
+  [[nodiscard]] bool IsAmongFirst(std::string_view aName, std::size_t aCount) const;
   [[nodiscard]] const Peer& Self() const { return m_self; }
-  [[nodiscard]] std::size_t Hosts() const { return m_peers.size() + 1; }
+  [[nodiscard]] std::size_t HostCount() const { return m_peers.size() + 1; }
 
 private:
   struct Entry
   {
     Peer m_peer;
-    std::uint32_t m_misses = 0; ///< in a row
-    std::optional<base::TimePoint> m_avoidUntil;
+    std::uint32_t m_failures = 0; ///< in a row
+    std::optional<base::TimePoint> m_backoffUntil;
   };
 
   [[nodiscard]] std::set<std::string> Zones() const;
   /// @brief The readers for the hosts of a zone, by rank.
-  [[nodiscard]] std::vector<const Peer*> ReadersFor(const std::string& aZone,
-                                                    base::TimePoint aNow) const;
+  [[nodiscard]] std::vector<const Peer*> RankedReaders(const std::string& aZone,
+                                                       base::TimePoint aNow) const;
   [[nodiscard]] std::vector<const Peer*> Reachable(base::TimePoint aNow) const;
 
   Peer m_self;
--- a/include/ferrytray/peers/unreachable_board.hpp
+++ b/include/ferrytray/peers/unreachable_table.hpp
@@ -5,24 +5,24 @@
 #include <string> // for string
 
 #include "ferrytray/base/time.hpp"        // for Duration, TimePoint
-#include "ferrytray/peers/load_board.hpp" // for EndpointTag
+#include "ferrytray/peers/load_table.hpp" // for EndpointTag
 
 namespace ferrytray::peers {
 
-struct UnreachableOptions
+struct UnreachableTableOptions
 {
   /// What a host told counts for so long: it tells of an endpoint anew while it avoids it.
-  base::Duration m_keepFor = std::chrono::milliseconds(700);
+  base::Duration m_retention = std::chrono::milliseconds(700);
 };
 
 /// @brief Endpoints that several hosts could not reach lately. Pure.
 ///
 /// An endpoint that crashed is in the directory for seconds more. One host's word is not enough:
 /// that host may be the one that is cut off.
-class UnreachableBoard
+class UnreachableTable
 {
 public:
-  explicit UnreachableBoard(UnreachableOptions aOptions = {})
+  explicit UnreachableTable(UnreachableTableOptions aOptions = {})
     : m_options(aOptions)
   {
   }
@@ -34,8 +34,8 @@
   [[nodiscard]] bool IsUnreachable(EndpointTag aEndpoint, base::TimePoint aNow) const;
 
 private:
-  UnreachableOptions m_options;
-  std::map<EndpointTag, std::map<std::string, base::TimePoint>> m_toldBy;
+  UnreachableTableOptions m_options;
+  std::map<EndpointTag, std::map<std::string, base::TimePoint>> m_reporters;
 };
 
 } // namespace ferrytray::peers
--- a/include/ferrytray/relay/prompt_dispatcher.hpp
+++ b/include/ferrytray/relay/prompt_dispatcher.hpp
@@ -6,8 +6,8 @@
 #include <unordered_map> // for unordered_map
 #include <vector>        // for vector
 
-#include "ferrytray/peers/news_exchange.hpp"     // for NewsExchange
-#include "ferrytray/peers/unreachable_board.hpp" // for UnreachableBoard
+#include "ferrytray/peers/peer_exchange.hpp"     // for PeerExchange
+#include "ferrytray/peers/unreachable_table.hpp" // for UnreachableTable
 #include "ferrytray/relay/assignment.hpp"        // for Assignment
 #include "ferrytray/relay/relay_core.hpp"        // for RelayCore
 #include "ferrytray/routing/prefill_queues.hpp"  // for PrefillQueues
@@ -37,7 +37,7 @@
   using Done = std::function<void(Assignment)>;
 
   /// Keeps references to both. Answers other hosts from now on.
-  PromptDispatcher(RelayCore& aCore, peers::NewsExchange& aExchange, DispatchOptions aOptions = {});
+  PromptDispatcher(RelayCore& aCore, peers::PeerExchange& aExchange, DispatchOptions aOptions = {});
 
   /// @brief Asks which engine a prompt goes to.
   /// @param aDone called once, perhaps before this returns
@@ -68,10 +68,10 @@
   };
 
   RelayCore& m_core;
-  peers::NewsExchange& m_exchange;
+  peers::PeerExchange& m_exchange;
   DispatchOptions m_options;
   routing::PrefillQueues m_queues;
-  peers::UnreachableBoard m_unreachable;
+  peers::UnreachableTable m_unreachable;
   std::optional<Seen> m_seen;                                    ///< told with the next question
   std::unordered_map<std::string, base::TimePoint> m_avoidUntil; ///< by host
 };
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -18,8 +18,8 @@
 #include "ferrytray/limits/retry_window.hpp"       // for RetryWindow
 #include "ferrytray/net/http_client.hpp"           // for HttpClient
 #include "ferrytray/net/loop.hpp"                  // for Loop
-#include "ferrytray/peers/load_board.hpp"          // for LoadBoard
-#include "ferrytray/peers/reload_board.hpp"        // for ReloadBoard
+#include "ferrytray/peers/load_table.hpp"          // for LoadTable
+#include "ferrytray/peers/reload_table.hpp"        // for ReloadTable
 #include "ferrytray/quarantine/crash_board.hpp"    // for CrashBoard
 #include "ferrytray/relay/attempt_policy.hpp"      // for AttemptLimits
 #include "ferrytray/relay/prompt_placement.hpp"    // for PromptPlacement
@@ -108,8 +108,8 @@
   std::function<void(const quarantine::RequestKey&)> m_onCrashesChanged;
   /// Whether this host may send a request once more that is kept away; answers once. Unset: never.
   std::function<void(const quarantine::RequestKey&, std::function<void(bool)>)> m_claimTry;
-  peers::LoadBoard m_otherLoads; ///< other hosts' requests
-  peers::ReloadBoard m_reloads;  ///< engines that load weights
+  peers::LoadTable m_otherLoads; ///< other hosts' requests
+  peers::ReloadTable m_reloads;  ///< engines that load weights
   limits::RetryWindow m_retries;
   std::map<std::string, limits::AdmissionLimit> m_admission; ///< by service
   PromptPlacement m_placement;
--- a/include/ferrytray/relay/relay_host.hpp
+++ b/include/ferrytray/relay/relay_host.hpp
@@ -5,7 +5,7 @@
 
 #include "ferrytray/base/error.hpp"              // for Result
 #include "ferrytray/net/http_server.hpp"         // for HttpServer
-#include "ferrytray/peers/news_exchange.hpp"     // for NewsExchange
+#include "ferrytray/peers/peer_exchange.hpp"     // for PeerExchange
 #include "ferrytray/relay/prompt_dispatcher.hpp" // for PromptDispatcher
 #include "ferrytray/relay/quarantine_feed.hpp"   // for QuarantineFeed
 #include "ferrytray/relay/relay_core.hpp"        // for RelayCore
@@ -23,7 +23,7 @@
   net::Address m_callers;
   net::Address m_readiness;
   net::Address m_metrics;
-  peers::NewsOptions m_peers;
+  peers::PeerExchangeOptions m_peers;
   RelayOptions m_relay;
   FeedOptions m_feeds;
   rollout::RolloutOptions m_rollout;
@@ -85,7 +85,7 @@
   StateFeeds m_feeds;
   QuarantineFeed m_quarantine;
   StoreWatch m_stores;
-  peers::NewsExchange m_news;
+  peers::PeerExchange m_news;
   PromptDispatcher m_dispatcher;
   UpkeepDuty m_upkeep;
   rollout::RolloutDriver m_rollout;
--- a/src/ferrytray/peers/archive.hpp
+++ b/src/ferrytray/peers/archive.hpp
@@ -16,7 +16,7 @@
 namespace ferrytray::peers {
 
 /// Both ends are of one version but while hosts are replaced; another version's bytes are refused.
-inline constexpr std::uint32_t kFormat = 0x66740005;
+inline constexpr std::uint32_t kFormatVersion = 0x66740005;
 
 /// @brief A message between hosts as bytes.
 template<typename Message>
@@ -25,7 +25,7 @@
   std::ostringstream bytes;
   {
     cereal::BinaryOutputArchive archive(bytes);
-    archive(kFormat, aMessage);
+    archive(kFormatVersion, aMessage);
   }
   return bytes.str();
 }
@@ -39,7 +39,7 @@
     std::uint32_t format = 0;
     Message message;
     archive(format);
-    if (format != kFormat) {
+    if (format != kFormatVersion) {
       return base::Fail(base::ErrorCode::PeerMalformed, "another format");
     }
     archive(message);
--- a/src/ferrytray/peers/fallback_reader.cpp
+++ b/src/ferrytray/peers/fallback_reader.cpp
@@ -6,31 +6,32 @@
 
 std::optional<Peer> FallbackReader::Pick(std::span<const Peer> aReaders,
                                          std::string_view aSource,
-                                         bool aLost,
+                                         bool aLogLost,
                                          base::TimePoint aNow)
 {
-  if (aLost) {
-    m_lostAt = aNow;
+  if (aLogLost) {
+    m_logLostAt = aNow;
   }
-  const bool needed = m_lostAt && (aLost || (m_helps && aNow < *m_lostAt + m_options.m_stayFor));
+  const bool needed =
+    m_logLostAt && (aLogLost || (m_active && aNow < *m_logLostAt + m_options.m_holdTime));
   if (!needed) {
-    m_helps = false;
+    m_active = false;
     m_askedAt.reset();
     return std::nullopt;
   }
-  if (!m_helps && m_askedAt && aNow < *m_askedAt + m_options.m_retry) {
+  if (!m_active && m_askedAt && aNow < *m_askedAt + m_options.m_retryInterval) {
     return std::nullopt;
   }
   const auto asked = std::find_if(aReaders.begin(), aReaders.end(), [&](const Peer& aPeer) {
-    return m_helps && aPeer.m_name == m_name;
+    return m_active && aPeer.m_name == m_name;
   });
   m_askedAt = aNow;
   if (asked != aReaders.end()) {
     return *asked;
   }
-  m_helps = false;
-  for (std::size_t tried = 0; tried < aReaders.size(); ++tried) {
-    const Peer& next = aReaders[m_position++ % aReaders.size()];
+  m_active = false;
+  for (std::size_t attempts = 0; attempts < aReaders.size(); ++attempts) {
+    const Peer& next = aReaders[m_nextIndex++ % aReaders.size()];
     if (next.m_name != aSource) {
       m_name = next.m_name;
       return next;
@@ -42,7 +43,7 @@
 void FallbackReader::OnAnswer(std::string_view aName, bool aUsable)
 {
   if (aName == m_name) {
-    m_helps = aUsable;
+    m_active = aUsable;
   }
 }
 
--- a/src/ferrytray/peers/fallback_reader_test.cpp
+++ b/src/ferrytray/peers/fallback_reader_test.cpp
@@ -21,19 +21,19 @@
     { { "a", "z", "a:1", 1 }, { "b", "z", "b:1", 1 }, { "c", "z", "c:1", 1 } }
   };
 
-  std::string Pick(bool aLost, base::Duration aAfter, const std::string& aSource = "")
+  std::string Pick(bool aLogLost, base::Duration aAfter, const std::string& aSource = "")
   {
-    const auto peer = m_fallback.Pick(m_readers, aSource, aLost, kStart + aAfter);
+    const auto peer = m_fallback.Pick(m_readers, aSource, aLogLost, kStart + aAfter);
     return peer ? peer->m_name : "";
   }
 };
 
-TEST(FallbackReader, NobodyIsAskedWhileTheLogAnswers)
+TEST(FallbackReader, PicksNoReaderWhileTheLogIsReachable)
 {
   STRCMP_EQUAL("", Pick(false, 0s).c_str());
 }
 
-TEST(FallbackReader, AsksOneAfterTheOtherUntilOneHasRecords)
+TEST(FallbackReader, TriesReadersInTurnUntilOneHasRecords)
 {
   STRCMP_EQUAL("b", Pick(true, 0s, "a").c_str());
   STRCMP_EQUAL("", Pick(true, 300ms, "a").c_str());
@@ -43,17 +43,17 @@
   STRCMP_EQUAL("c", Pick(true, 900ms, "a").c_str());
 }
 
-TEST(FallbackReader, AHostThatHelpedIsAskedOnWhileTheLogIsTriedAgain)
+TEST(FallbackReader, KeepsTheReaderForTheHoldTimeAfterTheLogRecovers)
 {
   STRCMP_EQUAL("a", Pick(true, 0s).c_str());
   m_fallback.OnAnswer("a", true);
   STRCMP_EQUAL("a", Pick(false, 300ms).c_str());
   STRCMP_EQUAL("a", Pick(false, 3900ms).c_str());
   STRCMP_EQUAL("", Pick(false, 4s).c_str());
-  CHECK_FALSE(m_fallback.Helped());
+  CHECK_FALSE(m_fallback.IsActive());
 }
 
-TEST(FallbackReader, WhenTheHelperLosesTheLogAnotherOneIsAsked)
+TEST(FallbackReader, PicksAnotherReaderWhenTheCurrentOneLosesTheLog)
 {
   STRCMP_EQUAL("a", Pick(true, 0s).c_str());
   m_fallback.OnAnswer("a", true);
--- a/src/ferrytray/peers/load_board.cpp
+++ b/src/ferrytray/peers/load_table.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/peers/load_board.hpp"
+#include "ferrytray/peers/load_table.hpp"
 
 #include <algorithm> // for min
 #include <utility>   // for move
@@ -14,9 +14,9 @@
   EndpointLoads loads;
   loads.reserve(aTotals.size());
   for (const auto& [endpoint, work] : aTotals) {
-    constexpr std::uint32_t kMost = UINT16_MAX;
+    constexpr std::uint32_t kMaxLoad = UINT16_MAX;
     if (work > 0) {
-      loads.push_back({ endpoint, static_cast<std::uint16_t>(std::min(work, kMost)) });
+      loads.push_back({ endpoint, static_cast<std::uint16_t>(std::min(work, kMaxLoad)) });
     }
   }
   return loads;
@@ -29,7 +29,7 @@
   return static_cast<EndpointTag>(base::Hash64(aIncarnation, "endpoint"));
 }
 
-void LoadBoard::Subtract(const Report& aReport)
+void LoadTable::Subtract(const Report& aReport)
 {
   for (const EndpointLoad& load : aReport.m_loads) {
     const auto total = m_totals.find(load.m_endpoint);
@@ -40,7 +40,7 @@
   }
 }
 
-void LoadBoard::OnReport(const std::string& aHost,
+void LoadTable::OnReport(const std::string& aHost,
                          LoadScope aScope,
                          EndpointLoads aLoads,
                          base::TimePoint aNow)
@@ -54,24 +54,24 @@
   report = { aScope, std::move(aLoads), aNow };
 }
 
-void LoadBoard::Expire(base::TimePoint aNow)
+void LoadTable::Expire(base::TimePoint aNow)
 {
   std::erase_if(m_reports, [&](const auto& aPair) {
-    const bool old = aPair.second.m_at + m_options.m_forgetAfter <= aNow;
-    if (old) {
+    const bool expired = aPair.second.m_reportedAt + m_options.m_expireAfter <= aNow;
+    if (expired) {
       Subtract(aPair.second);
     }
-    return old;
+    return expired;
   });
 }
 
-std::uint32_t LoadBoard::Others(EndpointTag aEndpoint) const
+std::uint32_t LoadTable::RemoteLoad(EndpointTag aEndpoint) const
 {
   const auto found = m_totals.find(aEndpoint);
   return found == m_totals.end() ? 0 : found->second;
 }
 
-EndpointLoads LoadBoard::AllBut(const std::string& aHost) const
+EndpointLoads LoadTable::AllExcept(const std::string& aHost) const
 {
   Totals totals = m_totals;
   const auto found = m_reports.find(aHost);
@@ -83,7 +83,7 @@
   return ToLoads(totals);
 }
 
-EndpointLoads LoadBoard::OwnReports() const
+EndpointLoads LoadTable::OwnScopeTotals() const
 {
   Totals totals;
   for (const auto& [host, report] : m_reports) {
--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -98,22 +98,22 @@
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, ReplacedNotice& aNotice)
+void serialize(Archive& aArchive, ReplacementNotice& aNotice)
 {
   aArchive(aNotice.m_incarnation, aNotice.m_ageMillis);
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, NewsRequest& aRequest)
+void serialize(Archive& aArchive, SyncRequest& aRequest)
 {
   aArchive(aRequest.m_sender, aRequest.m_incarnation, aRequest.m_cursors);
-  aArchive(aRequest.m_topics, aRequest.m_scope, aRequest.m_loads, aRequest.m_lostLog);
+  aArchive(aRequest.m_topics, aRequest.m_scope, aRequest.m_loads, aRequest.m_logLost);
   aArchive(aRequest.m_reloads, aRequest.m_replaced);
   aArchive(aRequest.m_crashes, aRequest.m_crashesFrom);
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, NewsReply& aReply)
+void serialize(Archive& aArchive, SyncReply& aReply)
 {
   aArchive(aReply.m_incarnation, aReply.m_topics, aReply.m_stores, aReply.m_loads);
   aArchive(aReply.m_reloads, aReply.m_replaced, aReply.m_readers);
@@ -125,12 +125,12 @@
   return WriteMessage(aPeer);
 }
 
-std::string Encode(const NewsRequest& aRequest)
+std::string Encode(const SyncRequest& aRequest)
 {
   return WriteMessage(aRequest);
 }
 
-std::string Encode(const NewsReply& aReply)
+std::string Encode(const SyncReply& aReply)
 {
   return WriteMessage(aReply);
 }
@@ -145,14 +145,14 @@
   return ReadMessage<Peer>(aBytes);
 }
 
-base::Result<NewsRequest> DecodeNewsRequest(std::string_view aBytes)
+base::Result<SyncRequest> DecodeSyncRequest(std::string_view aBytes)
 {
-  return ReadMessage<NewsRequest>(aBytes);
+  return ReadMessage<SyncRequest>(aBytes);
 }
 
-base::Result<NewsReply> DecodeNewsReply(std::string_view aBytes)
+base::Result<SyncReply> DecodeSyncReply(std::string_view aBytes)
 {
-  return ReadMessage<NewsReply>(aBytes);
+  return ReadMessage<SyncReply>(aBytes);
 }
 
 base::Result<quarantine::Suspicion> DecodeSuspicion(std::string_view aBytes)
--- a/src/ferrytray/peers/messages_test.cpp
+++ b/src/ferrytray/peers/messages_test.cpp
@@ -10,9 +10,9 @@
 
 TEST_GROUP(PeerMessages){};
 
-TEST(PeerMessages, ComeBackAsTheyWere)
+TEST(PeerMessages, SyncRequestAndReplyRoundTrip)
 {
-  peers::NewsRequest request{ { "h", "z", "10.0.0.1:7" },
+  peers::SyncRequest request{ { "h", "z", "10.0.0.1:7" },
                               9,
                               { { "s:1", 2, 3 } },
                               { { "t", 8 } },
@@ -23,7 +23,7 @@
                               { { 1ULL << 60, 1200 } },
                               {},
                               0 };
-  const auto readRequest = peers::DecodeNewsRequest(peers::Encode(request));
+  const auto readRequest = peers::DecodeSyncRequest(peers::Encode(request));
   CHECK(readRequest.has_value());
   CHECK(readRequest->m_sender == request.m_sender);
   LONGS_EQUAL(9, readRequest->m_incarnation);
@@ -35,13 +35,13 @@
   CHECK(readRequest->m_replaced.at(0).m_incarnation == 1ULL << 60);
   LONGS_EQUAL(1200, readRequest->m_replaced.at(0).m_ageMillis);
 
-  peers::NewsReply reply{ 11, {}, {}, { { 7, 8 } }, { { 4, "m", 3, 900, 17 } }, { { 5, 6 } },
+  peers::SyncReply reply{ 11, {}, {}, { { 7, 8 } }, { { 4, "m", 3, 900, 17 } }, { { 5, 6 } },
                           {}, {}, 0 };
   reply.m_stores.push_back({ "s:1", 1, 2, 3, true, 5ms, 77, { { { "m.1", "p" }, 400, true } } });
   reply.m_stores.push_back({ "s:2", 1, 2, 3, false, 5ms, {}, {} });
   reply.m_topics.push_back({ "t", 8, 9, { { 8, "key", "value", false } }, true, false, 3ms, 2 });
   reply.m_readers.push_back({ "h", "z", "10.0.0.1:7", 3 });
-  const auto readReply = peers::DecodeNewsReply(peers::Encode(reply));
+  const auto readReply = peers::DecodeSyncReply(peers::Encode(reply));
   CHECK(readReply.has_value());
   const cache::ContentsDigest& digest = readReply->m_stores.at(0);
   CHECK(digest.m_whole && digest.m_age == 5ms && digest.m_clockMillis == 77);
@@ -61,22 +61,22 @@
   LONGS_EQUAL(3, readReply->m_readers.at(0).m_capacity);
 }
 
-TEST(PeerMessages, WhatIsKnownOfRequestsThatEndEndpointsComesBackAsItWas)
+TEST(PeerMessages, CrashNoticesAndSuspicionsRoundTrip)
 {
   const quarantine::CrashNotice notice{ quarantine::NoticeKind::Alive, { 1, 2 }, 3, 1ULL << 60 };
-  peers::NewsRequest request;
+  peers::SyncRequest request;
   request.m_crashes = { notice };
   request.m_crashesFrom = 7;
-  const auto readRequest = peers::DecodeNewsRequest(peers::Encode(request));
+  const auto readRequest = peers::DecodeSyncRequest(peers::Encode(request));
   CHECK(readRequest->m_crashes.at(0).m_kind == quarantine::NoticeKind::Alive);
   CHECK(readRequest->m_crashes.at(0).m_request == notice.m_request);
   LONGS_EQUAL(3, readRequest->m_crashes.at(0).m_endpoint);
   CHECK(readRequest->m_crashes.at(0).m_number == 1ULL << 60);
   LONGS_EQUAL(7, readRequest->m_crashesFrom);
-  peers::NewsReply reply;
+  peers::SyncReply reply;
   reply.m_crashes = { notice, notice };
   reply.m_crashesNext = 9;
-  const auto readReply = peers::DecodeNewsReply(peers::Encode(reply));
+  const auto readReply = peers::DecodeSyncReply(peers::Encode(reply));
   LONGS_EQUAL(2, readReply->m_crashes.size());
   LONGS_EQUAL(9, readReply->m_crashesNext);
   const quarantine::Suspicion suspicion{ { 4, 5 }, true, true };
@@ -84,39 +84,39 @@
   CHECK_FALSE(peers::DecodeSuspicion("x").has_value());
 }
 
-TEST(PeerMessages, DamagedBytesAreRefusedWithANumber)
+TEST(PeerMessages, TruncatedRepliesAreRejectedAndDamagedOnesDoNotCrash)
 {
-  peers::NewsReply reply{ 11, {}, {}, { { 7, 8 } }, { { 4, "m", 3, 900, 17 } }, {}, {}, {}, 0 };
+  peers::SyncReply reply{ 11, {}, {}, { { 7, 8 } }, { { 4, "m", 3, 900, 17 } }, {}, {}, {}, 0 };
   reply.m_stores.push_back({ "s:1", 1, 2, 3, true, 5ms, 77, { { { "m.1", "p" }, 400, true } } });
   const std::string whole = peers::Encode(reply);
   for (std::size_t size = 0; size < whole.size(); ++size) {
-    const auto read = peers::DecodeNewsReply(std::string_view(whole).substr(0, size));
+    const auto read = peers::DecodeSyncReply(std::string_view(whole).substr(0, size));
     CHECK(!read && read.error().m_code == base::ErrorCode::PeerMalformed);
   }
   // Ends without a crash or a huge allocation.
   const bool held = rc::check([&] {
     std::string damaged = whole;
     damaged[*rc::gen::inRange<std::size_t>(0, whole.size())] = *rc::gen::arbitrary<char>();
-    static_cast<void>(peers::DecodeNewsReply(damaged));
+    static_cast<void>(peers::DecodeSyncReply(damaged));
   });
   CHECK(held);
 }
 
-TEST(PeerMessages, QuestionsOfPlacementComeBackAsTheyWere)
+TEST(PeerMessages, PlacementRequestAndReplyRoundTrip)
 {
   const peers::PlacementRequest request{ "h", "s", "m", "z", "k", 5, 4, 3, { 9 }, 2, 1 };
   const auto read = peers::DecodePlacementRequest(peers::Encode(request));
   CHECK(read && read->m_service == "s" && read->m_model == "m" && read->m_zone == "z");
-  CHECK(read->m_key == "k" && read->m_tokens == 5 && read->m_readTokens == 4);
+  CHECK(read->m_key == "k" && read->m_tokens == 5 && read->m_uncachedTokens == 4);
   CHECK(read->m_host == "h" && read->m_unreachable.at(0) == 9);
-  CHECK(read->m_ownTokens == 3 && read->m_seenTokens == 2 && read->m_seenMillis == 1);
+  CHECK(read->m_unsharedTokens == 3 && read->m_sampleTokens == 2 && read->m_sampleMillis == 1);
   const auto reply =
     peers::DecodePlacementReply(peers::Encode(peers::PlacementReply{ "a", "b", true, true }));
-  CHECK(reply && reply->m_engine == "a" && reply->m_holder == "b" && reply->m_free &&
-        reply->m_full);
+  CHECK(reply && reply->m_engine == "a" && reply->m_prefixHolder == "b" && reply->m_idle &&
+        reply->m_memoryFull);
 }
 
-TEST(PeerMessages, DamagedQuestionsOfPlacementAreRefusedWithANumber)
+TEST(PeerMessages, TruncatedPlacementRequestsAreRejected)
 {
   const std::string whole =
     peers::Encode(peers::PlacementRequest{ "h", "s", "m", "z", "k", 5, 4, 3, { 9 }, 2, 1 });
--- /dev/null
+++ b/src/ferrytray/peers/peer_exchange.cpp
@@ -0,0 +1,384 @@
+#include "ferrytray/peers/peer_exchange.hpp"
+
+#include <random>  // for random_device
+#include <utility> // for exchange, move
+
+#include "ferrytray/telemetry/log_line.hpp" // for LogLine
+
+namespace ferrytray::peers {
+
+namespace {
+
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+constexpr int kUnavailable = 503;
+constexpr std::string_view kSyncPath = "/news";
+
+std::uint64_t RandomNumber()
+{
+  std::random_device device;
+  constexpr unsigned kHalf = 32;
+  return (static_cast<std::uint64_t>(device()) << kHalf) | device();
+}
+
+base::Result<Peer> DecodePeerRecord(const store::Record& aRecord)
+{
+  base::Result<Peer> peer = DecodePeer(aRecord.m_value);
+  if (peer && peer->m_name != aRecord.m_key) {
+    return base::Fail(base::ErrorCode::PlatformMalformed, "the record is another host's");
+  }
+  return peer;
+}
+
+} // namespace
+
+PeerExchange::PeerExchange(net::Loop& aLoop,
+                           net::HttpClient& aClient,
+                           store::RecordLog& aLog,
+                           cache::Stores& aStores,
+                           LoadTable& aLoads,
+                           ReloadTable& aReloads,
+                           quarantine::CrashBoard& aCrashes,
+                           PeerExchangeOptions aOptions)
+  : m_loop(aLoop)
+  , m_client(aClient)
+  , m_log(aLog)
+  , m_stores(aStores)
+  , m_loads(aLoads)
+  , m_reloads(aReloads)
+  , m_crashes(aCrashes)
+  , m_options(std::move(aOptions))
+  , m_incarnation(RandomNumber())
+{
+}
+
+base::Result<void> PeerExchange::Start()
+{
+  net::HttpServerOptions options;
+  options.m_listen = m_options.m_listen;
+  auto server = net::HttpServer::Create(
+    m_loop,
+    options,
+    [this](const net::HttpRequest& aRequest, const std::shared_ptr<net::HttpReply>& aReply) {
+      HandleRequest(aRequest, aReply);
+    });
+  if (!server) {
+    return tl::unexpected(server.error());
+  }
+  m_server = std::move(*server);
+  m_roster.emplace(Peer{ m_options.m_name,
+                         m_options.m_zone,
+                         net::ToString(m_server->ListenAddress()),
+                         m_options.m_capacity },
+                   m_options.m_roster);
+  ReadHosts();
+  m_tick = m_loop.Every(m_options.m_pollInterval, [this] { Tick(); });
+  return {};
+}
+
+void PeerExchange::Stop()
+{
+  m_stopped = true;
+  m_tick.reset();
+  m_hostsTimer.reset();
+}
+
+void PeerExchange::ReadHosts()
+{
+  m_log.ReadSnapshot(m_options.m_topic, [this](const base::Result<store::Snapshot>& aResult) {
+    if (!m_stopped) {
+      OnHosts(aResult);
+    }
+  });
+}
+
+void PeerExchange::OnHosts(const base::Result<store::Snapshot>& aResult)
+{
+  if (!aResult) {
+    telemetry::LogLine("hosts").Add("outcome", "failed").Add("why", aResult.error().m_message);
+    StartTopics();
+    // Those that an earlier look found may be asked though the log has gone away since.
+    m_hostsKnown = m_hostsKnown || m_roster->HostCount() > 1;
+    ScheduleReadHosts(m_options.m_hostsReadRetry);
+    return;
+  }
+  bool listed = m_enrolled;
+  for (const store::Record& record : aResult->m_records) {
+    if (const auto peer = DecodePeerRecord(record)) {
+      m_roster->AddOrUpdate(*peer);
+      listed = listed || *peer == m_roster->Self();
+    } else {
+      m_unreadable.Note(record, peer.error());
+    }
+  }
+  telemetry::LogLine("hosts")
+    .Add("known", m_roster->HostCount())
+    .Add("listed", listed ? "yes" : "no");
+  if (!listed) {
+    Register();
+    return;
+  }
+  const bool first = !std::exchange(m_hostsKnown, true);
+  ScheduleReadHosts(first ? m_options.m_hostsReadRetry : m_options.m_hostsReadInterval);
+  if (first) {
+    m_startTopicsAt = base::MonotonicNow() + m_options.m_topicRelayTimeout;
+    Tick();
+  }
+}
+
+void PeerExchange::Register()
+{
+  m_log.AppendKeyed(m_options.m_topic,
+                    m_options.m_name,
+                    Encode(m_roster->Self()),
+                    [this](const base::Result<store::AppendResult>& aResult) {
+                      if (m_stopped) {
+                        return;
+                      }
+                      m_enrolled = aResult.has_value();
+                      if (!aResult) {
+                        telemetry::LogLine("enrolled")
+                          .Add("outcome", "failed")
+                          .Add("why", aResult.error().m_message);
+                        StartTopics();
+                      }
+                      ScheduleReadHosts(m_enrolled ? m_options.m_firstHostsReadDelay
+                                                   : m_options.m_registrationRetry);
+                    });
+}
+
+void PeerExchange::ScheduleReadHosts(base::Duration aDelay)
+{
+  m_hostsTimer = m_loop.After(aDelay, [this] {
+    // A host that follows another one hears from that one who reads.
+    if (m_isReader || !m_hostsKnown) {
+      ReadHosts();
+    } else {
+      ScheduleReadHosts(m_options.m_hostsReadRetry);
+    }
+  });
+}
+
+void PeerExchange::StartTopics()
+{
+  for (const auto& topic : m_topics) {
+    topic->Start();
+  }
+}
+
+void PeerExchange::Tick()
+{
+  const base::TimePoint now = base::MonotonicNow();
+  m_loads.Expire(now);
+  m_reloads.Expire(now);
+  m_replaced.Expire(now);
+  if (!m_hostsKnown) {
+    return; // nobody is known yet
+  }
+  const std::optional<Peer> source = m_roster->Source(now);
+  const bool polled = m_lastPolledAt && now < *m_lastPolledAt + m_options.m_readFor;
+  if (source) {
+    SetReader(polled, polled ? "asked by others" : "another host reads");
+  } else {
+    SetReader(true, "reader by rank");
+  }
+  if (m_isReader || now >= m_startTopicsAt) {
+    StartTopics();
+  }
+  if (!m_isReader) {
+    PollSource(*source, now);
+    PollFallback(now);
+    return;
+  }
+  PollFallback(now);
+  for (const Peer& reader : m_roster->OtherReaders(now)) {
+    PollReader(reader, now);
+  }
+}
+
+void PeerExchange::SetReader(bool aIsReader, const char* aWhy)
+{
+  if (std::exchange(m_isReader, aIsReader) == aIsReader) {
+    return;
+  }
+  telemetry::LogLine("reads_stores")
+    .Add("outcome", aIsReader ? "itself" : "by_another_host")
+    .Add("why", aWhy)
+    .Add("hosts", m_roster->HostCount());
+  if (m_onReaderChange) {
+    m_onReaderChange(aIsReader);
+  }
+}
+
+void PeerExchange::PollSource(const Peer& aSource, base::TimePoint aNow)
+{
+  if (m_source != aSource.m_name) {
+    // The new source tells of the same hosts: counted twice, all endpoints would look busier.
+    m_loads.OnReport(m_source, LoadScope::Summary, {}, aNow);
+    EndTopicUpdates();
+    m_source = aSource.m_name;
+    telemetry::LogLine("asks_host").Add("host", aSource.m_name).Add("address", aSource.m_address);
+    m_sourceIncarnation = 0;
+  }
+  SyncRequest syncRequest;
+  syncRequest.m_incarnation = m_sourceIncarnation;
+  for (const auto& [address, contents] : m_stores) {
+    cache::ContentsCursor cursor = contents.Cursor();
+    cursor.m_store = address;
+    syncRequest.m_cursors.push_back(std::move(cursor));
+  }
+  syncRequest.m_topics = TopicCursors();
+  syncRequest.m_scope = LoadScope::Own;
+  syncRequest.m_loads = m_ownLoads();
+  syncRequest.m_replaced = m_replaced.Notices(aNow);
+  SendSyncRequest(aSource, syncRequest, aNow);
+}
+
+void PeerExchange::PollReader(const Peer& aReader, base::TimePoint aNow)
+{
+  SyncRequest syncRequest;
+  syncRequest.m_scope = LoadScope::Summary;
+  syncRequest.m_loads = Sum(m_loads.OwnScopeTotals(), m_ownLoads());
+  syncRequest.m_reloads = m_reloads.Notices(aNow);
+  syncRequest.m_replaced = m_replaced.Notices(aNow);
+  SendSyncRequest(aReader, syncRequest, aNow);
+}
+
+void PeerExchange::SendSyncRequest(const Peer& aPeer,
+                                   const SyncRequest& aSyncRequest,
+                                   base::TimePoint aNow)
+{
+  if (!m_pendingHosts.insert(aPeer.m_name).second) {
+    return;
+  }
+  SyncRequest syncRequest = aSyncRequest;
+  syncRequest.m_sender = m_roster->Self();
+  AddCrashNotices(aPeer, syncRequest);
+  const quarantine::NoticeNumber sentUpTo =
+    m_crashes.Notices().After(m_crashSync[aPeer.m_name].m_sentUpTo, kMaxCrashNotices);
+  net::ClientRequest request;
+  request.m_method = "POST";
+  request.m_url = "http://" + aPeer.m_address + std::string(kSyncPath);
+  request.m_headers = { { "Content-Type", "application/octet-stream" } };
+  request.m_body = Encode(syncRequest);
+  request.m_connectTimeout = m_options.m_connectTimeout;
+  request.m_timeout = m_options.m_requestTimeout;
+  m_client.Fetch(
+    std::move(request),
+    [this, aPeer, aNow, sentUpTo](const net::ClientOutcome& aOutcome, const std::string& aBody) {
+      m_pendingHosts.erase(aPeer.m_name);
+      if (!m_stopped) {
+        OnReply(aPeer, { aNow, sentUpTo }, aOutcome, aBody);
+      }
+    });
+}
+
+void PeerExchange::OnReply(const Peer& aSource,
+                           const PendingRequest& aPending,
+                           const net::ClientOutcome& aOutcome,
+                           const std::string& aBody)
+{
+  const base::TimePoint now = base::MonotonicNow();
+  const bool complete = aOutcome.m_end == net::WireEnd::Complete && aOutcome.m_status == kOk;
+  const base::Result<SyncReply> reply =
+    complete ? DecodeSyncReply(aBody)
+             : base::Fail(base::ErrorCode::EndpointUnreachable,
+                          "status " + std::to_string(aOutcome.m_status) + ", " + aOutcome.m_detail);
+  if (!reply) {
+    telemetry::LogLine("host_missed")
+      .Add("host", aSource.m_name)
+      .Add("why", reply.error().m_message);
+    m_roster->OnRequestFailed(aSource.m_name, now);
+    m_fallback.OnAnswer(aSource.m_name, false);
+    if (aSource.m_name == m_source && !m_fallback.IsActive()) {
+      EndTopicUpdates();
+    }
+    return;
+  }
+  m_roster->OnRequestSucceeded(aSource.m_name);
+  m_lastContactAt = now;
+  ApplyReloads(reply->m_reloads, now);
+  ApplyReplacements(reply->m_replaced, now);
+  OnCrashNoticesAcknowledged(aSource, *reply, aPending.m_crashesSentUpTo);
+  ApplyCrashes(reply->m_crashes, now);
+  for (const Peer& reader : reply->m_readers) {
+    m_roster->AddOrUpdate(reader);
+  }
+  const bool fromSource = !m_isReader && aSource.m_name == m_source;
+  if (m_isReader || fromSource) {
+    m_loads.OnReport(aSource.m_name, LoadScope::Summary, reply->m_loads, now);
+  }
+  if (!fromSource) {
+    if (aSource.m_name == m_fallback.Name() && !reply->m_topics.empty()) {
+      OnFallbackReply(aSource, aPending.m_sentAt, *reply);
+    }
+    return; // this host reads by itself meanwhile, or asks another one
+  }
+  m_sourceIncarnation = reply->m_incarnation;
+  ApplyTopicUpdates(reply->m_topics, aPending.m_sentAt);
+  for (const cache::ContentsDigest& digest : reply->m_stores) {
+    const auto known = m_stores.find(digest.m_store);
+    if (known != m_stores.end()) {
+      known->second.OnDigest(digest, aPending.m_sentAt, now);
+    }
+  }
+}
+
+void PeerExchange::HandleRequest(const net::HttpRequest& aRequest,
+                                 const std::shared_ptr<net::HttpReply>& aReply)
+{
+  if (aRequest.m_path == kPlacementPath) {
+    HandlePlacementRequest(aRequest, aReply);
+    return;
+  }
+  base::Result<SyncRequest> syncRequest = DecodeSyncRequest(aRequest.m_body);
+  if (!syncRequest) {
+    aReply->Send(kBadRequest, {}, syncRequest.error().m_message);
+    return;
+  }
+  if (m_leaving || m_stopped) {
+    aReply->Send(kUnavailable, {}, "this host stops");
+    return;
+  }
+  const base::TimePoint now = base::MonotonicNow();
+  m_roster->AddOrUpdate(syncRequest->m_sender);
+  m_lastContactAt = now;
+  ApplyReloads(syncRequest->m_reloads, now);
+  ApplyReplacements(syncRequest->m_replaced, now);
+  ApplyCrashes(syncRequest->m_crashes, now);
+  m_loads.OnReport(syncRequest->m_sender.m_name, syncRequest->m_scope, syncRequest->m_loads, now);
+  SyncReply reply;
+  reply.m_incarnation = m_incarnation;
+  reply.m_reloads = m_reloads.Notices(now);
+  reply.m_replaced = m_replaced.Notices(now);
+  reply.m_topics = CollectTopicUpdates(
+    syncRequest->m_topics, syncRequest->m_logLost ? store::PassOn::All : store::PassOn::Light, now);
+  reply.m_loads = m_ownLoads();
+  if (syncRequest->m_scope == LoadScope::Own) {
+    m_lastPolledAt = now;
+    SetReader(true, "asked by others");
+    reply.m_loads = Sum(reply.m_loads, m_loads.AllExcept(syncRequest->m_sender.m_name));
+    reply.m_readers = m_roster->ReadersOf(syncRequest->m_sender.m_zone, now);
+    const quarantine::NoticeNumber from =
+      syncRequest->m_incarnation == m_incarnation ? syncRequest->m_crashesFrom : 0;
+    reply.m_crashes = m_crashes.Notices().Since(from, kMaxCrashNotices);
+    reply.m_crashesNext = m_crashes.Notices().After(from, kMaxCrashNotices);
+  } else {
+    reply.m_loads = Sum(reply.m_loads, m_loads.OwnScopeTotals());
+  }
+  for (cache::ContentsCursor& cursor : syncRequest->m_cursors) {
+    if (syncRequest->m_incarnation != m_incarnation) {
+      cursor.m_series = 0;
+    }
+    const auto known = m_stores.find(cursor.m_store);
+    if (known == m_stores.end()) {
+      continue;
+    }
+    if (auto digest = known->second.DigestFor(cursor, now)) {
+      reply.m_stores.push_back(std::move(*digest));
+    }
+  }
+  aReply->Send(kOk, { { "Content-Type", "application/octet-stream" } }, Encode(reply));
+}
+
+} // namespace ferrytray::peers
--- a/src/ferrytray/peers/news_exchange_test.cpp
+++ b/src/ferrytray/peers/peer_exchange_test.cpp
@@ -9,9 +9,9 @@
 using namespace std::chrono_literals;
 using support::NewsHost;
 
-TEST_GROUP_BASE(NewsExchange, support::NewsFixture){};
+TEST_GROUP_BASE(PeerExchange, support::NewsFixture){};
 
-TEST(NewsExchange, TheStrongerHostReadsAndTheOtherFollowsIt)
+TEST(PeerExchange, HostWithMoreCapacityReadsAndTheOtherFollowsIt)
 {
   CHECK(Until([&] { return m_reader->m_direct; }));
   ReaderHears(1, true);
@@ -21,17 +21,17 @@
   CHECK(Until([&] { return !m_follower->MayFetch(); }));
 }
 
-TEST(NewsExchange, EachKnowsTheWorkOfTheOther)
+TEST(PeerExchange, HostsExchangeTheirLoads)
 {
   m_reader->m_own = { { 1, 5 }, { 2, 1 } };
   m_follower->m_own = { { 1, 3 } };
-  CHECK(Until([&] { return m_follower->m_others.Others(1) == 5; }));
-  CHECK(Until([&] { return m_reader->m_others.Others(1) == 3; }));
+  CHECK(Until([&] { return m_follower->m_others.RemoteLoad(1) == 5; }));
+  CHECK(Until([&] { return m_reader->m_others.RemoteLoad(1) == 3; }));
   m_reader->m_own = {};
-  CHECK(Until([&] { return m_follower->m_others.Others(1) == 0; }));
+  CHECK(Until([&] { return m_follower->m_others.RemoteLoad(1) == 0; }));
 }
 
-TEST(NewsExchange, WhenTheReaderIsGoneTheOtherReadsByItself)
+TEST(PeerExchange, FollowerReadsDirectlyWhenTheReaderIsGone)
 {
   ReaderHears(1, true);
   CHECK(Until([&] { return m_follower->MayFetch(); }));
@@ -40,14 +40,14 @@
   CHECK(Until([&] { return m_follower->m_direct; }));
 }
 
-TEST(NewsExchange, AReaderThatStopsSaysSo)
+TEST(PeerExchange, FollowerReadsDirectlyWhenTheReaderIsLeaving)
 {
   CHECK(Until([&] { return m_reader->m_direct; }));
   m_reader->m_news.Leave();
   CHECK(Until([&] { return m_follower->m_direct; }));
 }
 
-TEST(NewsExchange, AHostWhoseRecordIsThereDoesNotEnrolAgain)
+TEST(PeerExchange, HostDoesNotRegisterAgainIfItsRecordExists)
 {
   CHECK(Until([&] { return m_reader->m_direct; }));
   const auto enrolled = m_reader->m_log.m_topics["hosts"];
@@ -58,9 +58,9 @@
   m_reader->m_news.Stop();
   const std::string address = peers::DecodePeer(own.m_value)->m_address;
   m_reader.reset();
-  peers::NewsOptions options = NewsHost::OptionsOf("reader", 9, "z", 1);
+  peers::PeerExchangeOptions options = NewsHost::OptionsOf("reader", 9, "z", 1);
   options.m_listen = net::ParseAddress(address).value();
-  peers::NewsExchange news(m_loop,
+  peers::PeerExchange news(m_loop,
                            *m_client,
                            again.m_log,
                            again.m_stores,
@@ -68,7 +68,7 @@
                            again.m_reloads,
                            again.m_crashes,
                            options);
-  news.OwnLoads([] { return peers::EndpointLoads{}; });
+  news.SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
   CHECK(news.Start().has_value());
   CHECK(Until([&] { return again.m_log.m_reads > 0; }));
   m_loop.RunFor(50ms);
@@ -77,23 +77,23 @@
 }
 
 // Load: hundreds of hosts start at once. What each asks of the log does not grow with their number.
-TEST(NewsExchange, OfManyHostsThatStartTogetherOnlyTheReadersReadTheTopics)
+TEST(PeerExchange, OnlyReadersReadTopicsWhenManyHostsStartAtOnce)
 {
   constexpr std::size_t kHosts = 60;
   support::MemoryRecordLog log;
   log.AppendKeyed("t", "a", "1", [](const auto&) {});
   std::vector<std::unique_ptr<NewsHost>> hosts;
   std::vector<std::shared_ptr<store::TopicFollower>> topics;
-  std::vector<std::string> told(kHosts);
-  std::vector<std::unique_ptr<peers::NewsExchange>> exchanges;
+  std::vector<std::string> keys(kHosts);
+  std::vector<std::unique_ptr<peers::PeerExchange>> exchanges;
   for (std::size_t i = 0; i < kHosts; ++i) {
     const std::string name = "h" + std::to_string(i);
     hosts.push_back(std::make_unique<NewsHost>(m_loop, *m_client, name, i == 0 ? 9 : 1));
-    peers::NewsOptions options = NewsHost::OptionsOf(name, i == 0 ? 9 : 1, "z", 1);
-    options.m_lookFirst = 300ms;
-    options.m_wholeWithin = 60s;
+    peers::PeerExchangeOptions options = NewsHost::OptionsOf(name, i == 0 ? 9 : 1, "z", 1);
+    options.m_firstHostsReadDelay = 300ms;
+    options.m_topicRelayTimeout = 60s;
     NewsHost& host = *hosts.back();
-    exchanges.push_back(std::make_unique<peers::NewsExchange>(m_loop,
+    exchanges.push_back(std::make_unique<peers::PeerExchange>(m_loop,
                                                               *m_client,
                                                               log,
                                                               host.m_stores,
@@ -101,15 +101,15 @@
                                                               host.m_reloads,
                                                               host.m_crashes,
                                                               options));
-    exchanges.back()->OwnLoads([] { return peers::EndpointLoads{}; });
-    topics.push_back(FollowWith(*exchanges.back(), log, told[i]));
+    exchanges.back()->SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
+    topics.push_back(FollowWith(*exchanges.back(), log, keys[i]));
   }
   for (const auto& exchange : exchanges) {
     CHECK(exchange->Start().has_value());
   }
   CHECK(Until([&] {
     return std::all_of(
-      told.begin(), told.end(), [](const std::string& aTold) { return aTold == "a"; });
+      keys.begin(), keys.end(), [](const std::string& aKeys) { return aKeys == "a"; });
   }));
   LONGS_EQUAL(1, log.m_snapshotsOf["t"]);
   LONGS_EQUAL(kHosts, log.m_topics["hosts"].size());
@@ -121,7 +121,7 @@
   }
 }
 
-TEST(NewsExchange, AnswersRubbishWithANumberedRefusal)
+TEST(PeerExchange, RejectsAMalformedSyncRequest)
 {
   CHECK(Until([&] { return m_reader->m_direct; }));
   const auto peer = peers::DecodePeer(m_reader->m_log.m_topics["hosts"].front().m_value);
@@ -137,21 +137,21 @@
   LONGS_EQUAL(400, status);
 }
 
-TEST(NewsExchange, AQuestionOfPlacementIsAnsweredAndABadOneIsRefused)
+TEST(PeerExchange, AnswersPlacementRequestsAndRejectsMalformedOnes)
 {
   CHECK(Until([&] { return m_reader->m_direct; }));
-  const std::optional<peers::Peer> host = m_reader->m_news.Placer("z", base::MonotonicNow());
+  const std::optional<peers::Peer> host = m_reader->m_news.PlacementHost("z", base::MonotonicNow());
   CHECK(host && m_reader->m_news.IsSelf(*host));
   m_reader->m_news.OnPlacement([](const peers::PlacementRequest& aRequest) {
     return peers::PlacementReply{ aRequest.m_key + "!", "", true, false };
   });
   std::string engine;
-  peers::PlacementRequest question;
-  question.m_key = "k";
+  peers::PlacementRequest placementRequest;
+  placementRequest.m_key = "k";
   bool answered = false;
   for (int i = 0; i < 100 && engine.empty(); ++i) { // the test's own loop may be slow
     answered = false;
-    m_follower->m_news.AskPlacement(*host, question, [&](const auto& aReply) {
+    m_follower->m_news.RequestPlacement(*host, placementRequest, [&](const auto& aReply) {
       answered = true;
       engine = aReply ? aReply->m_engine : "";
     });
@@ -160,7 +160,7 @@
   STRCMP_EQUAL("k!", engine.c_str());
   net::ClientRequest request;
   request.m_method = "POST";
-  request.m_url = "http://" + host->m_address + std::string(peers::NewsExchange::kPlacementPath);
+  request.m_url = "http://" + host->m_address + std::string(peers::PeerExchange::kPlacementPath);
   request.m_body = "rubbish";
   int status = 0;
   m_client->Fetch(std::move(request), [&](const net::ClientOutcome& aOutcome, const std::string&) {
--- /dev/null
+++ b/src/ferrytray/peers/peer_notices.cpp
@@ -0,0 +1,88 @@
+// What hosts tell each other of single endpoints: loads of weights, lives that are over, and
+// requests under which they ended.
+#include "ferrytray/peers/peer_exchange.hpp"
+
+namespace ferrytray::peers {
+
+void PeerExchange::PushReloads()
+{
+  const base::TimePoint now = base::MonotonicNow();
+  if (m_stopped || !m_hostsKnown) {
+    return;
+  }
+  for (const Peer& reader : m_roster->OtherReaders(now)) {
+    PollReader(reader, now);
+  }
+}
+
+void PeerExchange::ApplyReloads(const ReloadNotices& aNotices, base::TimePoint aNow)
+{
+  std::size_t accepted = 0;
+  for (const ReloadNotice& notice : aNotices) {
+    accepted += m_reloads.OnNotice(notice, aNow) ? 1 : 0;
+  }
+  if (accepted > 0 && m_onReloads) {
+    m_onReloads();
+  }
+}
+
+void PeerExchange::ReportReplaced(std::string_view aIncarnation)
+{
+  m_replaced.OnNotice({ KeyOf(aIncarnation), 0 }, base::MonotonicNow());
+}
+
+void PeerExchange::ApplyReplacements(const ReplacementNotices& aNotices, base::TimePoint aNow)
+{
+  for (const ReplacementNotice& notice : aNotices) {
+    if (m_replaced.OnNotice(notice, aNow) && m_onReplaced) {
+      m_onReplaced(notice.m_incarnation);
+    }
+  }
+}
+
+void PeerExchange::PushCrashes()
+{
+  const base::TimePoint now = base::MonotonicNow();
+  if (m_stopped || !m_hostsKnown) {
+    return;
+  }
+  if (const std::optional<Peer> source = m_roster->Source(now); source && !m_isReader) {
+    PollSource(*source, now);
+    return;
+  }
+  for (const Peer& reader : m_roster->OtherReaders(now)) {
+    PollReader(reader, now);
+  }
+}
+
+void PeerExchange::AddCrashNotices(const Peer& aPeer, SyncRequest& aSyncRequest)
+{
+  const CrashSyncState& state = m_crashSync[aPeer.m_name];
+  aSyncRequest.m_crashes = m_crashes.Notices().Since(state.m_sentUpTo, kMaxCrashNotices);
+  aSyncRequest.m_crashesFrom = state.m_receivedUpTo;
+}
+
+void PeerExchange::OnCrashNoticesAcknowledged(const Peer& aPeer,
+                                              const SyncReply& aReply,
+                                              quarantine::NoticeNumber aUpTo)
+{
+  CrashSyncState& state = m_crashSync[aPeer.m_name];
+  const bool restarted = state.m_incarnation != 0 && state.m_incarnation != aReply.m_incarnation;
+  state.m_incarnation = aReply.m_incarnation;
+  // A host that has started anew knows nothing of what its former life was told.
+  state.m_sentUpTo = restarted ? 0 : aUpTo;
+  state.m_receivedUpTo = aReply.m_crashesNext;
+}
+
+void PeerExchange::ApplyCrashes(const quarantine::CrashNotices& aNotices, base::TimePoint aNow)
+{
+  std::size_t accepted = 0;
+  for (const quarantine::CrashNotice& notice : aNotices) {
+    accepted += m_crashes.OnNotice(notice, aNow) ? 1 : 0;
+  }
+  if (accepted > 0 && m_onCrashes) {
+    m_onCrashes();
+  }
+}
+
+} // namespace ferrytray::peers
--- a/src/ferrytray/peers/news_notices_test.cpp
+++ b/src/ferrytray/peers/peer_notices_test.cpp
@@ -9,27 +9,27 @@
 using namespace std::chrono_literals;
 using support::NewsHost;
 
-TEST_GROUP_BASE(NewsNotices, support::NewsFixture){};
+TEST_GROUP_BASE(PeerNotices, support::NewsFixture){};
 
-TEST(NewsNotices, AReloadThatTheReaderHearsOfReachesTheFollower)
+TEST(PeerNotices, ReloadNoticesReachTheFollower)
 {
-  CHECK(Until([&] { return m_reader->m_direct && m_follower->m_others.Others(0) == 0; }));
+  CHECK(Until([&] { return m_reader->m_direct && m_follower->m_others.RemoteLoad(0) == 0; }));
   m_reader->m_reloads.OnNotice({ 7, "m", 2, 60'000, 1 }, base::MonotonicNow());
-  bool heard = false;
-  m_follower->m_news.OnReloads([&] { heard = true; });
-  CHECK(Until([&] { return heard; }));
+  bool received = false;
+  m_follower->m_news.OnReloads([&] { received = true; });
+  CHECK(Until([&] { return received; }));
   CHECK(m_follower->m_reloads.IsReloading(7, base::MonotonicNow()));
 }
 
-TEST(NewsNotices, AFollowersWordOfAReplacedLifeReachesTheReader)
+TEST(PeerNotices, ReplacementNoticesReachTheReader)
 {
-  peers::IncarnationKey heard = 0;
-  m_reader->m_news.OnReplaced([&](peers::IncarnationKey aKey) { heard = aKey; });
-  m_follower->m_news.TellReplaced("e/1");
-  CHECK(Until([&] { return heard == peers::KeyOf("e/1"); }));
+  peers::IncarnationKey received = 0;
+  m_reader->m_news.OnReplaced([&](peers::IncarnationKey aKey) { received = aKey; });
+  m_follower->m_news.ReportReplaced("e/1");
+  CHECK(Until([&] { return received == peers::KeyOf("e/1"); }));
 }
 
-TEST(NewsNotices, WhatBrokeOffUnderARequestIsCountedOverAllHosts)
+TEST(PeerNotices, BrokenAttemptsAreCountedAcrossHosts)
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey request{ 1, 2 };
@@ -45,25 +45,25 @@
   CHECK(Until([&] { return !m_reader->m_crashes.IsQuarantined(request); }));
 }
 
-TEST(NewsNotices, AHostIsAloneWhenOthersAreKnownAndNoneIsHeard)
+TEST(PeerNotices, AHostIsIsolatedWhenKnownPeersAreSilent)
 {
-  CHECK(Until([&] { return !m_follower->m_news.IsAlone(1h, base::MonotonicNow()); }));
-  CHECK(Until([&] { return !m_reader->m_news.IsAlone(1h, base::MonotonicNow()); }));
-  CHECK(Until([&] { return m_follower->m_news.IsAlone(1s, base::MonotonicNow() + 1min); }));
+  CHECK(Until([&] { return !m_follower->m_news.IsIsolated(1h, base::MonotonicNow()); }));
+  CHECK(Until([&] { return !m_reader->m_news.IsIsolated(1h, base::MonotonicNow()); }));
+  CHECK(Until([&] { return m_follower->m_news.IsIsolated(1s, base::MonotonicNow() + 1min); }));
   NewsHost single(m_loop, *m_client, "single", 1);
   CHECK(single.m_news.Start().has_value());
-  CHECK_FALSE(single.m_news.IsAlone(1s, base::MonotonicNow() + 1min));
+  CHECK_FALSE(single.m_news.IsIsolated(1s, base::MonotonicNow() + 1min));
   single.m_news.Stop();
 }
 
-TEST(NewsNotices, AReaderThatStartsAnewIsToldAgainWhatItsFormerLifeWasTold)
+TEST(PeerNotices, CrashNoticesAreResentAfterAReaderRestarts)
 {
   std::uint64_t incarnation = 1;
-  std::vector<std::size_t> told;
+  std::vector<std::size_t> noticeCounts;
   const auto answer = [&](const net::HttpRequest& aRequest,
                           const std::shared_ptr<net::HttpReply>& aReply) {
-    told.push_back(peers::DecodeNewsRequest(aRequest.m_body)->m_crashes.size());
-    peers::NewsReply reply;
+    noticeCounts.push_back(peers::DecodeSyncRequest(aRequest.m_body)->m_crashes.size());
+    peers::SyncReply reply;
     reply.m_incarnation = incarnation;
     aReply->Send(200, {}, peers::Encode(reply));
   };
@@ -73,12 +73,14 @@
   host.m_log.AppendKeyed("hosts", "strong", peers::Encode(strong), [](const auto&) {});
   host.m_crashes.OnBroken({ 1, 2 }, 10, base::MonotonicNow(), base::MonotonicNow());
   CHECK(host.m_news.Start().has_value());
-  CHECK(Until([&] { return told.size() >= 3; }));
-  LONGS_EQUAL(1, told[0]);
-  LONGS_EQUAL(0, told[1]); // it was told
+  CHECK(Until([&] { return noticeCounts.size() >= 3; }));
+  LONGS_EQUAL(1, noticeCounts[0]);
+  LONGS_EQUAL(0, noticeCounts[1]); // it was told
   incarnation = 2;
-  const std::size_t before = told.size();
-  CHECK(Until([&] { return told.size() >= before + 4; }));
-  LONGS_EQUAL(1, std::count(told.begin() + static_cast<std::ptrdiff_t>(before), told.end(), 1U));
+  const std::size_t before = noticeCounts.size();
+  CHECK(Until([&] { return noticeCounts.size() >= before + 4; }));
+  LONGS_EQUAL(
+    1,
+    std::count(noticeCounts.begin() + static_cast<std::ptrdiff_t>(before), noticeCounts.end(), 1U));
   host.m_news.Stop();
 }
--- a/src/ferrytray/peers/news_topics.cpp
+++ b/src/ferrytray/peers/peer_topics.cpp
@@ -1,5 +1,5 @@
 // The log's records through other hosts: what is passed on, and whom a host asks that lost the log.
-#include "ferrytray/peers/news_exchange.hpp"
+#include "ferrytray/peers/peer_exchange.hpp"
 
 #include <algorithm> // for any_of, find_if
 #include <utility>   // for move
@@ -8,33 +8,33 @@
 
 namespace ferrytray::peers {
 
-void NewsExchange::AskFallback(base::TimePoint aNow)
+void PeerExchange::PollFallback(base::TimePoint aNow)
 {
-  const bool lost = std::any_of(
+  const bool logLost = std::any_of(
     m_topics.begin(), m_topics.end(), [](const auto& aTopic) { return aTopic->IsAway(); });
-  const std::string& source = m_direct ? std::string() : m_source;
-  const auto reader = m_fallback.Pick(m_roster->OtherReaders(aNow), source, lost, aNow);
+  const std::string& source = m_isReader ? std::string() : m_source;
+  const auto reader = m_fallback.Pick(m_roster->OtherReaders(aNow), source, logLost, aNow);
   if (!reader) {
     return;
   }
-  NewsRequest question;
-  question.m_topics = TopicCursors();
-  question.m_lostLog = true;
-  question.m_scope = LoadScope::Summary;
-  if (m_direct) {
-    question.m_loads = Sum(m_loads.OwnReports(), m_ownLoads());
+  SyncRequest syncRequest;
+  syncRequest.m_topics = TopicCursors();
+  syncRequest.m_logLost = true;
+  syncRequest.m_scope = LoadScope::Summary;
+  if (m_isReader) {
+    syncRequest.m_loads = Sum(m_loads.OwnScopeTotals(), m_ownLoads());
   }
-  Ask(*reader, question, aNow);
+  SendSyncRequest(*reader, syncRequest, aNow);
 }
 
-void NewsExchange::OnFallbackReply(const Peer& aPeer,
+void PeerExchange::OnFallbackReply(const Peer& aPeer,
                                    base::TimePoint aAskedAt,
-                                   const NewsReply& aReply)
+                                   const SyncReply& aReply)
 {
-  const bool helped = m_fallback.Helped();
+  const bool wasActive = m_fallback.IsActive();
   bool usable = false;
   for (const store::TopicNews& news : aReply.m_topics) {
-    if (store::TopicFollower* topic = TopicFor(news, aAskedAt)) {
+    if (store::TopicFollower* topic = FindUsableTopic(news, aAskedAt)) {
       // What this host reads itself needs no help.
       const bool wanted = topic->IsAway() || topic->IsByNews();
       usable = usable || wanted;
@@ -44,7 +44,7 @@
     }
   }
   m_fallback.OnAnswer(aPeer.m_name, usable);
-  if (usable && !helped) {
+  if (usable && !wasActive) {
     telemetry::LogLine("asks_host")
       .Add("host", aPeer.m_name)
       .Add("address", aPeer.m_address)
@@ -52,7 +52,7 @@
   }
 }
 
-std::vector<store::TopicCursor> NewsExchange::TopicCursors() const
+std::vector<store::TopicCursor> PeerExchange::TopicCursors() const
 {
   std::vector<store::TopicCursor> cursors;
   cursors.reserve(m_topics.size());
@@ -62,8 +62,8 @@
   return cursors;
 }
 
-store::TopicFollower* NewsExchange::TopicFor(const store::TopicNews& aNews,
-                                             base::TimePoint aAskedAt) const
+store::TopicFollower* PeerExchange::FindUsableTopic(const store::TopicNews& aNews,
+                                                    base::TimePoint aAskedAt) const
 {
   const auto found = std::find_if(m_topics.begin(), m_topics.end(), [&](const auto& aTopic) {
     return aTopic->Topic() == aNews.m_topic;
@@ -73,7 +73,7 @@
   return usable ? found->get() : nullptr;
 }
 
-std::vector<store::TopicNews> NewsExchange::NewsOfTopics(
+std::vector<store::TopicNews> PeerExchange::CollectTopicUpdates(
   const std::vector<store::TopicCursor>& aCursors,
   store::PassOn aMost,
   base::TimePoint aNow) const
@@ -92,21 +92,21 @@
   return all;
 }
 
-void NewsExchange::TakeNewsOfTopics(const std::vector<store::TopicNews>& aNews,
-                                    base::TimePoint aAskedAt) const
+void PeerExchange::ApplyTopicUpdates(const std::vector<store::TopicNews>& aNews,
+                                     base::TimePoint aAskedAt) const
 {
   for (const store::TopicNews& news : aNews) {
     for (const auto& topic : m_topics) {
       // A reader that lost the log does not end what another one passes on.
-      const bool ofUse = !m_fallback.Helped() || TopicFor(news, aAskedAt) != nullptr;
-      if (topic->Topic() == news.m_topic && ofUse) {
+      const bool accepted = !m_fallback.IsActive() || FindUsableTopic(news, aAskedAt) != nullptr;
+      if (topic->Topic() == news.m_topic && accepted) {
         topic->OnNews(news, aAskedAt);
       }
     }
   }
 }
 
-void NewsExchange::EndNewsOfTopics() const
+void PeerExchange::EndTopicUpdates() const
 {
   for (const auto& topic : m_topics) {
     topic->OnNewsEnded();
--- a/src/ferrytray/peers/news_topics_test.cpp
+++ b/src/ferrytray/peers/peer_topics_test.cpp
@@ -10,73 +10,73 @@
 using namespace std::chrono_literals;
 using support::NewsHost;
 
-TEST_GROUP_BASE(NewsTopics, support::NewsFixture){};
+TEST_GROUP_BASE(PeerTopics, support::NewsFixture){};
 
-TEST(NewsTopics, AFollowerGetsATopicWholeAndReadsNothingOfIt)
+TEST(PeerTopics, AFollowerReceivesTheFullTopicWithoutReadingTheLog)
 {
   m_reader->m_log.AppendKeyed("t", "a", "1", [](const auto&) {});
   m_reader->m_log.AppendKeyed("t", "b", "1", [](const auto&) {});
   m_reader->m_log.AppendKeyed("t", "a", "2", [](const auto&) {});
-  std::string toldReader;
-  std::string toldFollower;
-  const auto one = Follow(*m_reader, toldReader);
-  const auto two = Follow(*m_follower, toldFollower);
-  CHECK(Until([&] { return !toldFollower.empty(); }));
-  STRCMP_EQUAL("ba", toldFollower.c_str()); // in the order of the newest records
+  std::string readerKeys;
+  std::string followerKeys;
+  const auto readerTopic = Follow(*m_reader, readerKeys);
+  const auto followerTopic = Follow(*m_follower, followerKeys);
+  CHECK(Until([&] { return !followerKeys.empty(); }));
+  STRCMP_EQUAL("ba", followerKeys.c_str()); // in the order of the newest records
   LONGS_EQUAL(0, m_follower->m_log.m_readsOf["t"]);
   m_reader->m_log.AppendKeyed("t", "c", "1", [](const auto&) {});
-  CHECK(Until([&] { return toldFollower == "bac"; }));
-  one->Stop();
-  two->Stop();
+  CHECK(Until([&] { return followerKeys == "bac"; }));
+  readerTopic->Stop();
+  followerTopic->Stop();
 }
 
-TEST(NewsTopics, ATopicThatNobodyPassesOnIsReadByTheHostItself)
+TEST(PeerTopics, ATopicThatNoReaderRelaysIsReadDirectly)
 {
   m_follower->m_log.AppendKeyed("t", "a", "1", [](const auto&) {});
-  std::string told;
-  const auto topic = Follow(*m_follower, told); // the reader does not follow it
-  CHECK(Until([&] { return told == "a"; }));
+  std::string keys;
+  const auto topic = Follow(*m_follower, keys); // the reader does not follow it
+  CHECK(Until([&] { return keys == "a"; }));
   topic->Stop();
 }
 
-TEST(NewsTopics, RecordsReachTheFollowerThoughItsOwnPathToTheLogIsCut)
+TEST(PeerTopics, RecordsReachAFollowerThatCannotReachTheLog)
 {
-  std::string toldReader;
-  std::string toldFollower;
-  const auto one = Follow(*m_reader, toldReader);
-  const auto two = Follow(*m_follower, toldFollower);
-  one->Start();
-  two->Start();
+  std::string readerKeys;
+  std::string followerKeys;
+  const auto readerTopic = Follow(*m_reader, readerKeys);
+  const auto followerTopic = Follow(*m_follower, followerKeys);
+  readerTopic->Start();
+  followerTopic->Start();
   m_reader->m_own = { { 1, 5 } };
-  CHECK(Until([&] { return m_follower->m_others.Others(1) == 5; }));
+  CHECK(Until([&] { return m_follower->m_others.RemoteLoad(1) == 5; }));
   m_follower->m_log.m_down = true;
   m_reader->m_log.AppendKeyed("t", "k", "v", [](const auto&) {});
-  CHECK(Until([&] { return toldFollower == "k"; }));
-  STRCMP_EQUAL("k", toldReader.c_str());
-  one->Stop();
-  two->Stop();
+  CHECK(Until([&] { return followerKeys == "k"; }));
+  STRCMP_EQUAL("k", readerKeys.c_str());
+  readerTopic->Stop();
+  followerTopic->Stop();
 }
 
 // Seen: a host behind a reader took an old configuration for the newest, since the reader told the
 // age of its youngest contact with the log, whatever topic that was of. Proved by this test.
-TEST(NewsTopics, AReadersContactForOneTopicSaysNothingOfAnother)
+TEST(PeerTopics, RecordAgeIsTrackedPerTopic)
 {
   m_reader->m_log.AppendKeyed("t", "a", "1", [](const auto&) {});
   m_reader->m_log.AppendKeyed("quiet", "b", "1", [](const auto&) {});
   m_reader->m_log.m_silentFor = "quiet";
-  std::string told;
-  const auto live = Follow(*m_reader, told);
-  const auto quiet = FollowWith(m_reader->m_news, m_reader->m_log, told, "quiet");
+  std::string keys;
+  const auto live = Follow(*m_reader, keys);
+  const auto quiet = FollowWith(m_reader->m_news, m_reader->m_log, keys, "quiet");
   live->Start();
   quiet->Start();
-  STRCMP_EQUAL("ab", told.c_str());
+  STRCMP_EQUAL("ab", keys.c_str());
   m_loop.RunFor(300ms);
   const base::TimePoint now = base::MonotonicNow();
   store::TopicCursor cursor{ "quiet", 1, false };
   CHECK(quiet->NewsSince(cursor, now)->m_age >= 300ms);
-  peers::NewsRequest question;
-  question.m_topics = { { "t", 1, false }, cursor };
-  const peers::NewsReply reply = AskReader(question);
+  peers::SyncRequest syncRequest;
+  syncRequest.m_topics = { { "t", 1, false }, cursor };
+  const peers::SyncReply reply = AskReader(syncRequest);
   LONGS_EQUAL(2, reply.m_topics.size());
   CHECK(reply.m_topics[1].m_age >= 300ms);
   live->Stop();
@@ -85,7 +85,7 @@
 
 // Load: the log turns some hosts away, among them the reader that others follow, and serves the
 // rest.
-TEST(NewsTopics, AHostWhoseReaderLostTheLogTooHearsOfRecordsFromAnotherReader)
+TEST(PeerTopics, AFallbackReaderServesHostsWhoseReaderLostTheLog)
 {
   const auto make = [&](const char* aName, std::uint32_t aCapacity, const char* aZone) {
     return std::make_unique<NewsHost>(m_loop, *m_client, aName, aCapacity, aZone, 2);
@@ -100,7 +100,7 @@
     records.push_back(host->m_log.m_topics["hosts"].front());
     records.back().m_offset = records.size() - 1;
   }
-  std::array<std::string, 3> told;
+  std::array<std::string, 3> keys;
   std::vector<std::shared_ptr<store::TopicFollower>> topics;
   for (std::size_t i = 0; i < hosts.size(); ++i) {
     hosts[i]->m_log.m_topics["hosts"] = records;
@@ -109,8 +109,8 @@
     options.m_pause = 5ms;
     options.m_newsFresh = 20s;
     store::FollowEvents events;
-    events.m_onRecord = [&told, i](const store::Record& aRecord) {
-      told[i] += aRecord.m_key;
+    events.m_onRecord = [&keys, i](const store::Record& aRecord) {
+      keys[i] += aRecord.m_key;
       return true;
     };
     topics.push_back(
@@ -123,7 +123,7 @@
   hosts[1]->m_log.m_down = true;
   CHECK(Until([&] { return topics[0]->IsAway(); }));
   hosts[2]->m_log.AppendKeyed("t", "k", "v", [](const auto&) {});
-  CHECK(Until([&] { return told[0] == "k" && told[1] == "k"; }));
+  CHECK(Until([&] { return keys[0] == "k" && keys[1] == "k"; }));
   for (std::size_t i = 0; i < hosts.size(); ++i) {
     topics[i]->Stop();
     hosts[i]->m_news.Stop();
--- a/src/ferrytray/peers/placement_exchange.cpp
+++ b/src/ferrytray/peers/placement_exchange.cpp
@@ -1,5 +1,5 @@
 // Which engine a long prompt goes to: the question to the host that gives them out, and its answer.
-#include "ferrytray/peers/news_exchange.hpp"
+#include "ferrytray/peers/peer_exchange.hpp"
 
 #include <utility> // for move
 
@@ -15,29 +15,31 @@
 
 } // namespace
 
-std::optional<Peer> NewsExchange::Placer(const std::string& aZone, base::TimePoint aNow) const
+std::optional<Peer> PeerExchange::PlacementHost(const std::string& aZone,
+                                                base::TimePoint aNow) const
 {
-  return m_looked && !m_stopped ? std::optional(m_roster->First(aZone, aNow)) : std::nullopt;
+  return m_hostsKnown && !m_stopped ? std::optional(m_roster->HighestRanked(aZone, aNow))
+                                    : std::nullopt;
 }
 
-void NewsExchange::AskPlacement(const Peer& aPeer,
-                                const PlacementRequest& aRequest,
-                                std::function<void(std::optional<PlacementReply>)> aDone)
+void PeerExchange::RequestPlacement(const Peer& aPeer,
+                                    const PlacementRequest& aRequest,
+                                    std::function<void(std::optional<PlacementReply>)> aDone)
 {
   net::ClientRequest request;
   request.m_method = "POST";
   request.m_url = "http://" + aPeer.m_address + std::string(kPlacementPath);
   request.m_headers = { { "Content-Type", "application/octet-stream" } };
   request.m_body = Encode(aRequest);
-  request.m_connectTimeout = m_options.m_placementWithin;
-  request.m_timeout = m_options.m_placementWithin;
+  request.m_connectTimeout = m_options.m_placementTimeout;
+  request.m_timeout = m_options.m_placementTimeout;
   m_client.Fetch(
     std::move(request),
     [host = aPeer.m_name, done = std::move(aDone)](const net::ClientOutcome& aOutcome,
                                                    const std::string& aBody) {
-      const bool whole = aOutcome.m_end == net::WireEnd::Complete && aOutcome.m_status == kOk;
+      const bool complete = aOutcome.m_end == net::WireEnd::Complete && aOutcome.m_status == kOk;
       base::Result<PlacementReply> reply =
-        whole
+        complete
           ? DecodePlacementReply(aBody)
           : base::Fail(base::ErrorCode::EndpointUnreachable,
                        "status " + std::to_string(aOutcome.m_status) + ", " + aOutcome.m_detail);
@@ -50,20 +52,21 @@
     });
 }
 
-void NewsExchange::AnswerPlacement(const net::HttpRequest& aRequest,
-                                   const std::shared_ptr<net::HttpReply>& aReply) const
+void PeerExchange::HandlePlacementRequest(const net::HttpRequest& aRequest,
+                                          const std::shared_ptr<net::HttpReply>& aReply) const
 {
-  const base::Result<PlacementRequest> question = DecodePlacementRequest(aRequest.m_body);
-  if (!question) {
-    aReply->Send(kBadRequest, {}, question.error().m_message);
+  const base::Result<PlacementRequest> placementRequest = DecodePlacementRequest(aRequest.m_body);
+  if (!placementRequest) {
+    aReply->Send(kBadRequest, {}, placementRequest.error().m_message);
     return;
   }
   if (m_leaving || m_stopped || !m_onPlacement) {
     aReply->Send(kUnavailable, {}, "this host gives out no prompts");
     return;
   }
-  aReply->Send(
-    kOk, { { "Content-Type", "application/octet-stream" } }, Encode(m_onPlacement(*question)));
+  aReply->Send(kOk,
+               { { "Content-Type", "application/octet-stream" } },
+               Encode(m_onPlacement(*placementRequest)));
 }
 
 } // namespace ferrytray::peers
--- a/src/ferrytray/peers/placement_messages.cpp
+++ b/src/ferrytray/peers/placement_messages.cpp
@@ -9,14 +9,14 @@
 {
   aArchive(aRequest.m_host, aRequest.m_unreachable);
   aArchive(aRequest.m_service, aRequest.m_model, aRequest.m_zone, aRequest.m_key);
-  aArchive(aRequest.m_tokens, aRequest.m_readTokens, aRequest.m_ownTokens);
-  aArchive(aRequest.m_seenTokens, aRequest.m_seenMillis);
+  aArchive(aRequest.m_tokens, aRequest.m_uncachedTokens, aRequest.m_unsharedTokens);
+  aArchive(aRequest.m_sampleTokens, aRequest.m_sampleMillis);
 }
 
 template<typename Archive>
 void serialize(Archive& aArchive, PlacementReply& aReply)
 {
-  aArchive(aReply.m_engine, aReply.m_holder, aReply.m_free, aReply.m_full);
+  aArchive(aReply.m_engine, aReply.m_prefixHolder, aReply.m_idle, aReply.m_memoryFull);
 }
 
 std::string Encode(const PlacementRequest& aRequest)
--- a/src/ferrytray/peers/reload_board.cpp
+++ b/src/ferrytray/peers/reload_table.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/peers/reload_board.hpp"
+#include "ferrytray/peers/reload_table.hpp"
 
 #include <algorithm> // for clamp
 #include <chrono>    // for milliseconds
@@ -9,23 +9,23 @@
 
 std::int32_t MillisUntil(base::TimePoint aTime, base::TimePoint aNow)
 {
-  constexpr std::int64_t kMost = INT32_MAX;
+  constexpr std::int64_t kMaxMillis = INT32_MAX;
   const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(aTime - aNow).count();
-  return static_cast<std::int32_t>(std::clamp<std::int64_t>(millis, -kMost, kMost));
+  return static_cast<std::int32_t>(std::clamp<std::int64_t>(millis, -kMaxMillis, kMaxMillis));
 }
 
 } // namespace
 
-bool ReloadBoard::OnNotice(const ReloadNotice& aNotice, base::TimePoint aNow)
+bool ReloadTable::OnNotice(const ReloadNotice& aNotice, base::TimePoint aNow)
 {
   const std::chrono::milliseconds endsIn(aNotice.m_endsInMillis);
-  const bool plausible = endsIn <= m_options.m_longest && endsIn > -m_options.m_keepFor;
+  const bool plausible = endsIn <= m_options.m_maxDuration && endsIn > -m_options.m_retention;
   if (!plausible) {
     return false;
   }
   const auto found = m_reloads.find(aNotice.m_endpoint);
   const bool isNew = found == m_reloads.end();
-  if (isNew ? m_reloads.size() >= m_options.m_most
+  if (isNew ? m_reloads.size() >= m_options.m_maxEntries
             : aNotice.m_revision <= found->second.m_revision) {
     return false;
   }
@@ -35,25 +35,25 @@
   return true;
 }
 
-bool ReloadBoard::IsReloading(EndpointTag aEndpoint, base::TimePoint aNow) const
+bool ReloadTable::IsReloading(EndpointTag aEndpoint, base::TimePoint aNow) const
 {
   const auto found = m_reloads.find(aEndpoint);
-  return found != m_reloads.end() && aNow < found->second.m_until;
+  return found != m_reloads.end() && aNow < found->second.m_endsAt;
 }
 
-std::vector<ReloadedWeights> ReloadBoard::TakeEnded(base::TimePoint aNow)
+std::vector<ReloadedWeights> ReloadTable::TakeEnded(base::TimePoint aNow)
 {
   std::vector<ReloadedWeights> ended;
   for (auto& [endpoint, reload] : m_reloads) {
-    if (!reload.m_endTold && reload.m_until <= aNow) {
-      reload.m_endTold = true;
+    if (!reload.m_endReported && reload.m_endsAt <= aNow) {
+      reload.m_endReported = true;
       ended.push_back({ endpoint, reload.m_model, reload.m_version });
     }
   }
   return ended;
 }
 
-ReloadNotices ReloadBoard::Notices(base::TimePoint aNow) const
+ReloadNotices ReloadTable::Notices(base::TimePoint aNow) const
 {
   ReloadNotices notices;
   notices.reserve(m_reloads.size());
@@ -61,16 +61,16 @@
     notices.push_back({ endpoint,
                         reload.m_model,
                         reload.m_version,
-                        MillisUntil(reload.m_until, aNow),
+                        MillisUntil(reload.m_endsAt, aNow),
                         reload.m_revision });
   }
   return notices;
 }
 
-void ReloadBoard::Expire(base::TimePoint aNow)
+void ReloadTable::Expire(base::TimePoint aNow)
 {
   std::erase_if(m_reloads, [&](const auto& aPair) {
-    return aPair.second.m_until + m_options.m_keepFor <= aNow;
+    return aPair.second.m_endsAt + m_options.m_retention <= aNow;
   });
 }
 
--- a/src/ferrytray/peers/reload_board_test.cpp
+++ b/src/ferrytray/peers/reload_table_test.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/peers/reload_board.hpp"
+#include "ferrytray/peers/reload_table.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 
@@ -11,88 +11,89 @@
 
 } // namespace
 
-TEST_GROUP(ReloadBoard)
+TEST_GROUP(ReloadTable)
 {
-  peers::ReloadBoard m_board;
+  peers::ReloadTable m_table;
   base::TimePoint m_now = base::MonotonicNow();
 
-  bool Hear(std::int32_t aEndsIn, std::uint64_t aRevision, peers::EndpointTag aEngine = kEngine)
+  bool ReceiveNotice(
+    std::int32_t aEndsIn, std::uint64_t aRevision, peers::EndpointTag aEngine = kEngine)
   {
-    return m_board.OnNotice({ aEngine, "m", 2, aEndsIn, aRevision }, m_now);
+    return m_table.OnNotice({ aEngine, "m", 2, aEndsIn, aRevision }, m_now);
   }
 };
 
-TEST(ReloadBoard, AnEngineIsClosedFromTheNoticeToTheExpectedEnd)
+TEST(ReloadTable, EngineIsReloadingFromTheNoticeToTheExpectedEnd)
 {
-  CHECK(Hear(1500, 1));
-  CHECK(m_board.IsReloading(kEngine, m_now));
-  CHECK(m_board.IsReloading(kEngine, m_now + 1499ms));
-  CHECK_FALSE(m_board.IsReloading(kEngine, m_now + 1500ms));
-  CHECK_FALSE(m_board.IsReloading(kEngine + 1, m_now));
+  CHECK(ReceiveNotice(1500, 1));
+  CHECK(m_table.IsReloading(kEngine, m_now));
+  CHECK(m_table.IsReloading(kEngine, m_now + 1499ms));
+  CHECK_FALSE(m_table.IsReloading(kEngine, m_now + 1500ms));
+  CHECK_FALSE(m_table.IsReloading(kEngine + 1, m_now));
 }
 
-TEST(ReloadBoard, WhatItRunsAfterwardsIsToldOnce)
+TEST(ReloadTable, TakeEndedReportsEachReloadOnce)
 {
-  Hear(1500, 1);
-  CHECK(m_board.TakeEnded(m_now).empty());
-  const auto ended = m_board.TakeEnded(m_now + 1500ms);
+  ReceiveNotice(1500, 1);
+  CHECK(m_table.TakeEnded(m_now).empty());
+  const auto ended = m_table.TakeEnded(m_now + 1500ms);
   LONGS_EQUAL(1, ended.size());
   LONGS_EQUAL(kEngine, ended[0].m_endpoint);
   LONGS_EQUAL(2, ended[0].m_version);
-  CHECK(m_board.TakeEnded(m_now + 1600ms).empty());
+  CHECK(m_table.TakeEnded(m_now + 1600ms).empty());
 }
 
 // Load: notices come by several hosts and overtake each other.
-TEST(ReloadBoard, ANoticeThatIsOlderThanWhatIsKnownChangesNothing)
+TEST(ReloadTable, OlderRevisionsAreIgnored)
 {
-  CHECK(Hear(1500, 2));
-  CHECK_FALSE(Hear(9000, 1));
-  CHECK_FALSE(m_board.IsReloading(kEngine, m_now + 1500ms));
-  CHECK(Hear(0, 3));
-  CHECK_FALSE(m_board.IsReloading(kEngine, m_now));
+  CHECK(ReceiveNotice(1500, 2));
+  CHECK_FALSE(ReceiveNotice(9000, 1));
+  CHECK_FALSE(m_table.IsReloading(kEngine, m_now + 1500ms));
+  CHECK(ReceiveNotice(0, 3));
+  CHECK_FALSE(m_table.IsReloading(kEngine, m_now));
 }
 
-TEST(ReloadBoard, PassedOnTheEndStaysAtTheSameTime)
+TEST(ReloadTable, ForwardedNoticesKeepTheEndTime)
 {
-  Hear(1500, 1);
-  peers::ReloadBoard other;
+  ReceiveNotice(1500, 1);
+  peers::ReloadTable other;
   const base::TimePoint later = m_now + 400ms;
-  for (const peers::ReloadNotice& notice : m_board.Notices(later)) {
+  for (const peers::ReloadNotice& notice : m_table.Notices(later)) {
     other.OnNotice(notice, later);
   }
   CHECK(other.IsReloading(kEngine, m_now + 1499ms));
   CHECK_FALSE(other.IsReloading(kEngine, m_now + 1500ms));
 }
 
-TEST(ReloadBoard, WhatIsNoReloadIsDropped)
+TEST(ReloadTable, ImplausibleEndTimesAreRejected)
 {
-  CHECK_FALSE(Hear(INT32_MAX, 1));
-  CHECK_FALSE(Hear(INT32_MIN, 1));
-  CHECK_FALSE(m_board.IsReloading(kEngine, m_now));
+  CHECK_FALSE(ReceiveNotice(INT32_MAX, 1));
+  CHECK_FALSE(ReceiveNotice(INT32_MIN, 1));
+  CHECK_FALSE(m_table.IsReloading(kEngine, m_now));
 }
 
-TEST(ReloadBoard, ItsSizeIsBoundedAndOldReloadsAreForgotten)
+TEST(ReloadTable, SizeIsBoundedAndEndedReloadsExpire)
 {
-  peers::ReloadBoardOptions options;
-  options.m_most = 10;
-  m_board = peers::ReloadBoard(options);
+  peers::ReloadTableOptions options;
+  options.m_maxEntries = 10;
+  m_table = peers::ReloadTable(options);
   for (peers::EndpointTag engine = 0; engine < 100; ++engine) {
-    Hear(1000, 1, engine);
+    ReceiveNotice(1000, 1, engine);
   }
-  LONGS_EQUAL(10, m_board.Notices(m_now).size());
-  m_board.Expire(m_now + 1000ms + options.m_keepFor);
-  CHECK(m_board.Notices(m_now).empty());
+  LONGS_EQUAL(10, m_table.Notices(m_now).size());
+  m_table.Expire(m_now + 1000ms + options.m_retention);
+  CHECK(m_table.Notices(m_now).empty());
 }
 
 // Load: hundreds of hosts send to one engine once in seconds each, and it loads for a second: by
 // its own rejections a host learns nothing. All hear of it within one question to their reader.
-TEST(ReloadBoard, HundredsOfHostsHearOfALoadWellBeforeItIsOver)
+TEST(ReloadTable, NoticesReachHundredsOfHostsEarlyInAReload)
 {
   constexpr std::size_t kHosts = 300;
   constexpr std::size_t kReaders = 6;
   constexpr auto kAskEvery = 300ms;
   constexpr std::int32_t kLoadMillis = 1100;
-  std::vector<peers::ReloadBoard> hosts(kHosts);
+  std::vector<peers::ReloadTable> hosts(kHosts);
   for (peers::EndpointTag engine = 0; engine < 27; ++engine) {
     hosts[0].OnNotice({ engine, "m", 2, kLoadMillis, engine + 1 }, m_now);
   }
@@ -102,17 +103,17 @@
       hosts[reader].OnNotice(notice, m_now);
     }
   }
-  base::Duration open{};
+  base::Duration totalDelay{};
   for (std::size_t host = kReaders; host < kHosts; ++host) {
     const base::TimePoint asks = m_now + kAskEvery * host / kHosts;
     for (const auto& notice : hosts[host % kReaders].Notices(asks)) {
       hosts[host].OnNotice(notice, asks);
     }
-    open += asks - m_now;
+    totalDelay += asks - m_now;
   }
   // Of the load's time, hosts still send for a seventh on the mean.
-  CHECK(open / kHosts <= std::chrono::milliseconds(kLoadMillis) / 7);
-  for (const peers::ReloadBoard& host : hosts) {
+  CHECK(totalDelay / kHosts <= std::chrono::milliseconds(kLoadMillis) / 7);
+  for (const peers::ReloadTable& host : hosts) {
     for (peers::EndpointTag engine = 0; engine < 27; ++engine) {
       CHECK(host.IsReloading(engine, m_now + kAskEvery));
       CHECK(host.IsReloading(engine, m_now + std::chrono::milliseconds(kLoadMillis - 2)));
--- a/src/ferrytray/peers/replaced_board.cpp
+++ b/src/ferrytray/peers/replacement_table.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/peers/replaced_board.hpp"
+#include "ferrytray/peers/replacement_table.hpp"
 
 #include <chrono> // for milliseconds
 
@@ -11,19 +11,19 @@
   return base::Hash64("incarnation", aIncarnation);
 }
 
-bool ReplacedBoard::OnNotice(const ReplacedNotice& aNotice, base::TimePoint aNow)
+bool ReplacementTable::OnNotice(const ReplacementNotice& aNotice, base::TimePoint aNow)
 {
   const std::chrono::milliseconds age(aNotice.m_ageMillis);
-  const bool plausible = age >= base::Duration::zero() && age < m_options.m_keepFor;
-  if (!plausible || m_foundAt.size() >= m_options.m_most) {
+  const bool plausible = age >= base::Duration::zero() && age < m_options.m_retention;
+  if (!plausible || m_foundAt.size() >= m_options.m_maxEntries) {
     return false;
   }
   return m_foundAt.try_emplace(aNotice.m_incarnation, aNow - age).second;
 }
 
-ReplacedNotices ReplacedBoard::Notices(base::TimePoint aNow) const
+ReplacementNotices ReplacementTable::Notices(base::TimePoint aNow) const
 {
-  ReplacedNotices notices;
+  ReplacementNotices notices;
   notices.reserve(m_foundAt.size());
   for (const auto& [incarnation, foundAt] : m_foundAt) {
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(aNow - foundAt).count();
@@ -32,10 +32,10 @@
   return notices;
 }
 
-void ReplacedBoard::Expire(base::TimePoint aNow)
+void ReplacementTable::Expire(base::TimePoint aNow)
 {
   std::erase_if(m_foundAt,
-                [&](const auto& aPair) { return aPair.second + m_options.m_keepFor <= aNow; });
+                [&](const auto& aPair) { return aPair.second + m_options.m_retention <= aNow; });
 }
 
 } // namespace ferrytray::peers
--- a/src/ferrytray/peers/roster.cpp
+++ b/src/ferrytray/peers/roster.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::string_view kReaderRank = "reader";
+constexpr std::string_view kReaderRankSeed = "reader";
 
 /// Sorts by a hash that all hosts compute alike.
 void SortByHash(std::vector<const Peer*>& aPeers, std::string_view aSeed)
@@ -21,7 +21,7 @@
 /// The strongest first; all hosts compute the same order.
 void SortByRank(std::vector<const Peer*>& aPeers)
 {
-  SortByHash(aPeers, kReaderRank);
+  SortByHash(aPeers, kReaderRankSeed);
   std::stable_sort(aPeers.begin(), aPeers.end(), [](const Peer* aLeft, const Peer* aRight) {
     return aLeft->m_capacity > aRight->m_capacity;
   });
@@ -29,7 +29,7 @@
 
 } // namespace
 
-void Roster::Learn(const Peer& aPeer)
+void Roster::AddOrUpdate(const Peer& aPeer)
 {
   if (aPeer.m_name == m_self.m_name) {
     return;
@@ -40,33 +40,33 @@
   }
 }
 
-void Roster::OnAnswered(const std::string& aName)
+void Roster::OnRequestSucceeded(const std::string& aName)
 {
   const auto found = m_peers.find(aName);
   if (found != m_peers.end()) {
-    found->second.m_misses = 0;
-    found->second.m_avoidUntil.reset();
+    found->second.m_failures = 0;
+    found->second.m_backoffUntil.reset();
   }
 }
 
-void Roster::OnMissed(const std::string& aName, base::TimePoint aNow)
+void Roster::OnRequestFailed(const std::string& aName, base::TimePoint aNow)
 {
   const auto found = m_peers.find(aName);
   if (found == m_peers.end()) {
     return;
   }
   Entry& entry = found->second;
-  constexpr std::uint32_t kMostDoublings = 8;
-  const auto factor = std::int64_t{ 1 } << std::min(entry.m_misses, kMostDoublings);
-  entry.m_avoidUntil = aNow + std::min(m_options.m_avoidFirst * factor, m_options.m_avoidMost);
-  ++entry.m_misses;
+  constexpr std::uint32_t kMaxDoublings = 8;
+  const auto factor = std::int64_t{ 1 } << std::min(entry.m_failures, kMaxDoublings);
+  entry.m_backoffUntil = aNow + std::min(m_options.m_backoffMin * factor, m_options.m_backoffMax);
+  ++entry.m_failures;
 }
 
 std::vector<const Peer*> Roster::Reachable(base::TimePoint aNow) const
 {
   std::vector<const Peer*> reachable{ &m_self };
   for (const auto& [name, entry] : m_peers) {
-    if (!entry.m_avoidUntil || *entry.m_avoidUntil <= aNow) {
+    if (!entry.m_backoffUntil || *entry.m_backoffUntil <= aNow) {
       reachable.push_back(&entry.m_peer);
     }
   }
@@ -82,25 +82,25 @@
   return zones;
 }
 
-std::vector<const Peer*> Roster::ReadersFor(const std::string& aZone, base::TimePoint aNow) const
+std::vector<const Peer*> Roster::RankedReaders(const std::string& aZone, base::TimePoint aNow) const
 {
   std::vector<const Peer*> readers = Reachable(aNow);
-  if (Hosts() <= m_options.m_readers) {
+  if (HostCount() <= m_options.m_readers) {
     return readers;
   }
   const std::size_t zones = Zones().size();
   // With more zones than readers, all hosts share the same readers.
   const bool byZone = zones <= m_options.m_readers;
-  const std::size_t most = byZone ? m_options.m_readers / zones : m_options.m_readers;
+  const std::size_t maxReaders = byZone ? m_options.m_readers / zones : m_options.m_readers;
   std::erase_if(readers, [&](const Peer* aPeer) { return byZone && aPeer->m_zone != aZone; });
   SortByRank(readers);
-  readers.resize(std::min(readers.size(), most));
+  readers.resize(std::min(readers.size(), maxReaders));
   return readers;
 }
 
 std::optional<Peer> Roster::Source(base::TimePoint aNow) const
 {
-  std::vector<const Peer*> readers = ReadersFor(m_self.m_zone, aNow);
+  std::vector<const Peer*> readers = RankedReaders(m_self.m_zone, aNow);
   if (std::find(readers.begin(), readers.end(), &m_self) != readers.end()) {
     return std::nullopt;
   }
@@ -109,7 +109,7 @@
   return *readers.front();
 }
 
-Peer Roster::First(const std::string& aZone, base::TimePoint aNow) const
+Peer Roster::HighestRanked(const std::string& aZone, base::TimePoint aNow) const
 {
   std::vector<const Peer*> hosts = Reachable(aNow);
   std::erase_if(hosts, [&](const Peer* aPeer) { return !aZone.empty() && aPeer->m_zone != aZone; });
@@ -120,20 +120,20 @@
   return *hosts.front();
 }
 
-bool Roster::IsAmong(std::string_view aName, std::size_t aFirst) const
+bool Roster::IsAmongFirst(std::string_view aName, std::size_t aCount) const
 {
   const std::uint64_t own = base::Hash64(aName, m_self.m_name);
   std::size_t before = 0;
   for (const auto& [name, entry] : m_peers) {
     before += base::Hash64(aName, name) < own ? 1 : 0;
   }
-  return before < aFirst;
+  return before < aCount;
 }
 
 std::vector<Peer> Roster::ReadersOf(const std::string& aZone, base::TimePoint aNow) const
 {
   std::vector<Peer> readers;
-  for (const Peer* reader : ReadersFor(aZone, aNow)) {
+  for (const Peer* reader : RankedReaders(aZone, aNow)) {
     readers.push_back(*reader);
   }
   return readers;
@@ -143,7 +143,7 @@
 {
   std::set<const Peer*> readers;
   for (const std::string& zone : Zones()) {
-    const std::vector<const Peer*> ofZone = ReadersFor(zone, aNow);
+    const std::vector<const Peer*> ofZone = RankedReaders(zone, aNow);
     readers.insert(ofZone.begin(), ofZone.end());
   }
   readers.erase(&m_self);
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm> // for max
 
-#include "ferrytray/peers/replaced_board.hpp"  // for KeyOf
-#include "ferrytray/relay/cold_engines.hpp"    // for MaySendCold
-#include "ferrytray/routing/engine_memory.hpp" // for HasRoom, SizeOf
+#include "ferrytray/peers/replacement_table.hpp" // for KeyOf
+#include "ferrytray/relay/cold_engines.hpp"      // for MaySendCold
+#include "ferrytray/routing/engine_memory.hpp"   // for HasRoom, SizeOf
 
 namespace ferrytray::relay {
 
@@ -78,7 +78,7 @@
       continue;
     }
     const peers::EndpointTag tag = peers::TagOf(name);
-    const routing::Work work = aCore.m_board.OpenWork(name) + aCore.m_otherLoads.Others(tag);
+    const routing::Work work = aCore.m_board.OpenWork(name) + aCore.m_otherLoads.RemoteLoad(tag);
     const bool reloading = aNeeds && aCore.m_reloads.IsReloading(tag, aNow);
     const bool avoided =
       reloading || aCore.m_board.Avoided(name, aNow) || IsDown(aCore, name, aNow);
--- a/src/ferrytray/relay/cold_engines_test.cpp
+++ b/src/ferrytray/relay/cold_engines_test.cpp
@@ -40,7 +40,7 @@
       for (std::size_t other = 0; other < aHosts; ++other) {
         // A host that started early may not know all the others.
         if (Between(0, 1) < 0.95) {
-          m_hosts.back().m_roster.Learn(PeerOf(other));
+          m_hosts.back().m_roster.AddOrUpdate(PeerOf(other));
         }
       }
       m_hosts.back().m_nextUsual =
@@ -119,7 +119,7 @@
     if (!aHost.m_heard) {
       aHost.m_heard = true;
       aHost.m_cold.OnTold("e", kColdFor + 10s, false, kNow + aAt);
-      aHost.m_isAmong = aHost.m_roster.IsAmong("e", aHost.m_cold.Hosts());
+      aHost.m_isAmong = aHost.m_roster.IsAmongFirst("e", aHost.m_cold.Hosts());
     }
     if (aHost.m_isAmong) {
       Press(aHost.m_cold, ColdUse::Own, aAt);
--- a/src/ferrytray/relay/exchange_end.cpp
+++ b/src/ferrytray/relay/exchange_end.cpp
@@ -3,8 +3,8 @@
 
 #include <utility> // for move
 
-#include "ferrytray/peers/replaced_board.hpp" // for KeyOf
-#include "ferrytray/telemetry/log_line.hpp"   // for LogLine
+#include "ferrytray/peers/replacement_table.hpp" // for KeyOf
+#include "ferrytray/telemetry/log_line.hpp"      // for LogLine
 
 namespace ferrytray::relay {
 
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -1,6 +1,6 @@
 // Requests under which endpoints broke off, as one exchange deals with them.
-#include "ferrytray/peers/replaced_board.hpp" // for KeyOf
-#include "tests/support/exchange_fixture.hpp" // for ExchangeFixture
+#include "ferrytray/peers/replacement_table.hpp" // for KeyOf
+#include "tests/support/exchange_fixture.hpp"    // for ExchangeFixture
 
 #include <CppUTest/TestHarness.h> // for TEST
 
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -3,7 +3,7 @@
 
 #include <utility> // for move
 
-#include "ferrytray/peers/replaced_board.hpp"    // for KeyOf
+#include "ferrytray/peers/replacement_table.hpp" // for KeyOf
 #include "ferrytray/relay/prompt_dispatcher.hpp" // for PromptDispatcher
 #include "ferrytray/telemetry/log_line.hpp"      // for LogLine
 
--- a/src/ferrytray/relay/exchange_test.cpp
+++ b/src/ferrytray/relay/exchange_test.cpp
@@ -245,7 +245,7 @@
 TEST(Exchange, APromptDoesNotGoToAnEngineThatLoadsWeights)
 {
   for (const char* closed : { "a", "b" }) {
-    m_core.m_reloads = peers::ReloadBoard();
+    m_core.m_reloads = peers::ReloadTable();
     m_core.m_reloads.OnNotice({ peers::TagOf(closed), "m", 2, 1500, 1 }, base::MonotonicNow());
     Ask("/stream/x", "k", "m");
     CHECK(Sent("to") != closed);
--- a/src/ferrytray/relay/feed_options_test.cpp
+++ b/src/ferrytray/relay/feed_options_test.cpp
@@ -10,7 +10,7 @@
 
 #include <vector> // for vector
 
-#include "ferrytray/peers/news_exchange.hpp"  // for NewsOptions
+#include "ferrytray/peers/peer_exchange.hpp"  // for PeerExchangeOptions
 #include "ferrytray/store/topic_follower.hpp" // for FollowOptions
 
 #include <CppUTest/TestHarness.h> // for TEST
@@ -31,7 +31,7 @@
 {
   const std::vector<base::Duration> m_dues{ 1s, 2s, 3s, 4s, 8s };
   const base::Duration m_retry = store::FollowOptions{}.m_retryFirst;
-  const base::Duration m_askEvery = peers::NewsOptions{}.m_askEvery;
+  const base::Duration m_pollInterval = peers::PeerExchangeOptions{}.m_pollInterval;
 };
 
 TEST(FeedOptions, AReadThatIsNeverAnsweredIsRepeatedWithinTheBound)
@@ -39,7 +39,7 @@
   for (const base::Duration due : m_dues) {
     const relay::FeedOptions options = relay::FeedOptionsFor(BoundsOf(due));
     const base::Duration givenUp = options.m_operatorWait + options.m_operatorPatience;
-    CHECK(givenUp + m_retry + m_askEvery <= due);
+    CHECK(givenUp + m_retry + m_pollInterval <= due);
   }
 }
 
@@ -53,7 +53,7 @@
     // A change just after a read was begun is known when the plain read after it is answered. A
     // host that follows another one asks it later still.
     const base::Duration known = options.m_operatorWait + options.m_operatorPatience + kAnswer;
-    CHECK(known + m_askEvery <= due);
+    CHECK(known + m_pollInterval <= due);
     // What a reader tells may have that age; then the follower reads by itself, not held open.
     CHECK(options.m_operatorNewsFresh + kAnswer <= due);
   }
@@ -83,7 +83,7 @@
     // A read that has just been answered was begun one wait ago, the next answer is one wait away.
     const base::Duration oldest = 2 * options.m_operatorWait;
     CHECK(oldest < options.m_operatorNewsFresh);
-    CHECK(oldest + m_askEvery < relay::DeniesWithin(BoundsOf(due)));
+    CHECK(oldest + m_pollInterval < relay::DeniesWithin(BoundsOf(due)));
   }
 }
 
@@ -103,6 +103,6 @@
     CHECK(options.m_quarantineAlone + options.m_quarantinePatience < due);
     // A host that others ask hears from the log once in a wait.
     CHECK(options.m_quarantineNewsFresh >
-          options.m_quarantineWait + options.m_quarantinePatience + m_askEvery);
+          options.m_quarantineWait + options.m_quarantinePatience + m_pollInterval);
   }
 }
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -16,7 +16,7 @@
 namespace ferrytray::relay {
 
 PromptDispatcher::PromptDispatcher(RelayCore& aCore,
-                                   peers::NewsExchange& aExchange,
+                                   peers::PeerExchange& aExchange,
                                    DispatchOptions aOptions)
   : m_core(aCore)
   , m_exchange(aExchange)
@@ -40,37 +40,39 @@
   request.m_key = m_core.m_placement.HomeKey(aPrompt, aAccount);
   request.m_zone = ZoneFor(request.m_key, aService);
   request.m_tokens = aPrompt.m_inputTokens;
-  request.m_readTokens = ReadTokens(aPrompt, aAccount, now);
-  request.m_ownTokens = aPrompt.m_parts.empty() ? 0 : aPrompt.m_parts.back().m_tokens;
-  const std::optional<peers::Peer> host = m_exchange.Placer(request.m_zone, now);
+  request.m_uncachedTokens = ReadTokens(aPrompt, aAccount, now);
+  request.m_unsharedTokens = aPrompt.m_parts.empty() ? 0 : aPrompt.m_parts.back().m_tokens;
+  const std::optional<peers::Peer> host = m_exchange.PlacementHost(request.m_zone, now);
   const auto avoided = host ? m_avoidUntil.find(host->m_name) : m_avoidUntil.end();
   if (!host || (avoided != m_avoidUntil.end() && now < avoided->second)) {
     aDone({});
     return;
   }
-  const auto assign = [tokens = request.m_readTokens](peers::PlacementReply aReply) {
-    return Assignment{
-      std::move(aReply.m_engine), std::move(aReply.m_holder), tokens, aReply.m_free, aReply.m_full
-    };
+  const auto assign = [tokens = request.m_uncachedTokens](peers::PlacementReply aReply) {
+    return Assignment{ std::move(aReply.m_engine),
+                       std::move(aReply.m_prefixHolder),
+                       tokens,
+                       aReply.m_idle,
+                       aReply.m_memoryFull };
   };
   if (m_exchange.IsSelf(*host)) {
     aDone(assign(Give(request)));
     return;
   }
   if (const auto seen = std::exchange(m_seen, std::nullopt)) {
-    request.m_seenTokens = seen->m_tokens;
-    request.m_seenMillis = static_cast<std::uint32_t>(
+    request.m_sampleTokens = seen->m_tokens;
+    request.m_sampleMillis = static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(seen->m_took).count());
   }
-  m_exchange.AskPlacement(*host,
-                          request,
-                          [this, name = host->m_name, assign, done = std::move(aDone)](
-                            std::optional<peers::PlacementReply> aReply) {
-                            if (!aReply) {
-                              m_avoidUntil[name] = base::MonotonicNow() + m_options.m_avoid;
-                            }
-                            done(aReply ? assign(std::move(*aReply)) : Assignment{});
-                          });
+  m_exchange.RequestPlacement(*host,
+                              request,
+                              [this, name = host->m_name, assign, done = std::move(aDone)](
+                                std::optional<peers::PlacementReply> aReply) {
+                                if (!aReply) {
+                                  m_avoidUntil[name] = base::MonotonicNow() + m_options.m_avoid;
+                                }
+                                done(aReply ? assign(std::move(*aReply)) : Assignment{});
+                              });
 }
 
 peers::PlacementReply PromptDispatcher::Give(const peers::PlacementRequest& aRequest)
@@ -79,8 +81,8 @@
     return {};
   }
   const base::TimePoint now = base::MonotonicNow();
-  if (aRequest.m_seenTokens > 0) {
-    m_queues.OnRead(aRequest.m_seenTokens, std::chrono::milliseconds(aRequest.m_seenMillis));
+  if (aRequest.m_sampleTokens > 0) {
+    m_queues.OnRead(aRequest.m_sampleTokens, std::chrono::milliseconds(aRequest.m_sampleMillis));
   }
   m_unreachable.OnReport(aRequest.m_host, aRequest.m_unreachable, now);
   const std::set<peers::EndpointTag> refused(aRequest.m_unreachable.begin(),
@@ -112,7 +114,7 @@
   // What this host sends itself is counted from the moment that it is sent.
   const std::uint32_t untold = aRequest.m_host == m_exchange.Name() ? 0 : aRequest.m_tokens;
   const routing::PrefillJob job{
-    aRequest.m_key, untold, aRequest.m_readTokens, aRequest.m_ownTokens
+    aRequest.m_key, untold, aRequest.m_uncachedTokens, aRequest.m_unsharedTokens
   };
   const auto choice = m_queues.Give(job, engines, now);
   if (!choice) {
--- a/src/ferrytray/relay/prompt_dispatcher_test.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher_test.cpp
@@ -16,7 +16,7 @@
 TEST_GROUP_BASE(PromptDispatcher, support::ExchangeFixture)
 {
   support::MemoryRecordLog m_log;
-  std::optional<peers::NewsExchange> m_exchange;
+  std::optional<peers::PeerExchange> m_exchange;
   std::optional<relay::PromptDispatcher> m_dispatcher;
 
   void teardown() override
@@ -26,14 +26,14 @@
 
   void Begin(std::uint32_t aCapacity)
   {
-    peers::NewsOptions options;
+    peers::PeerExchangeOptions options;
     options.m_listen = { "127.0.0.1", 0 };
     options.m_name = "self";
     options.m_zone = "z";
     options.m_capacity = aCapacity;
     options.m_topic = "hosts";
-    options.m_lookFirst = 1ms;
-    options.m_askEvery = 1h; // nothing but placement is asked
+    options.m_firstHostsReadDelay = 1ms;
+    options.m_pollInterval = 1h; // nothing but placement is asked
     m_log.AppendKeyed("hosts",
                       "strong",
                       peers::Encode(peers::Peer{ "strong", "z", "10.0.0.1:7", 5 }),
@@ -46,10 +46,10 @@
                        m_core.m_reloads,
                        m_core.m_crashes,
                        options);
-    m_exchange->OwnLoads([] { return peers::EndpointLoads{}; });
+    m_exchange->SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
     m_dispatcher.emplace(m_core, *m_exchange);
     CHECK(m_exchange->Start().has_value());
-    for (int i = 0; i < 1000 && !m_exchange->Placer("", base::MonotonicNow()); ++i) {
+    for (int i = 0; i < 1000 && !m_exchange->PlacementHost("", base::MonotonicNow()); ++i) {
       m_loop.RunFor(1ms);
     }
     m_client.m_calls.clear();
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-peers::NewsOptions WithTopic(peers::NewsOptions aOptions, const RecordFormat& aRecords)
+peers::PeerExchangeOptions WithTopic(peers::PeerExchangeOptions aOptions,
+                                     const RecordFormat& aRecords)
 {
   aOptions.m_topic = aRecords.HostTopic();
   return aOptions;
@@ -67,7 +68,7 @@
   if (!listening) {
     return listening;
   }
-  m_news.OnDirect([this](bool aDirect) {
+  m_news.OnReaderChange([this](bool aDirect) {
     m_stores.SetDirect(aDirect);
     m_rollout.SetStandby(!aDirect);
   });
@@ -77,13 +78,13 @@
   m_news.AddTopic(m_quarantine.Topic());
   m_core.m_dispatcher = &m_dispatcher;
   m_core.m_onReplaced = [this](const std::string& aIncarnation) {
-    m_news.TellReplaced(aIncarnation);
+    m_news.ReportReplaced(aIncarnation);
   };
   m_news.OnReplaced([this](peers::IncarnationKey aKey) { OnReplaced(aKey); });
   m_core.m_isAmongHosts = [this](const std::string& aName, std::size_t aFirst) {
-    return m_news.IsAmong(aName, aFirst);
+    return m_news.IsAmongFirst(aName, aFirst);
   };
-  m_news.OwnLoads([this] { return OwnLoads(); });
+  m_news.SetOwnLoadsProvider([this] { return OwnLoads(); });
   m_news.OnReloads([this] { m_rollout.NoteOthersOrder(base::MonotonicNow()); });
   m_feeds.OnConfigured([this] {
     m_stores.OnConfiguration();
@@ -125,14 +126,14 @@
   m_news.OnCrashes([this] { m_quarantine.OnChange(); });
   m_quarantine.OnRank([this](const quarantine::RequestKey& aRequest) {
     constexpr std::size_t kFirst = 2;
-    if (m_news.IsAmong(base::ToHex(aRequest), kFirst)) {
+    if (m_news.IsAmongFirst(base::ToHex(aRequest), kFirst)) {
       return quarantine::WriterRank::First;
     }
     return m_news.IsReader() ? quarantine::WriterRank::Reader : quarantine::WriterRank::Other;
   });
   m_core.m_claimTry = [this](const quarantine::RequestKey& aRequest,
                              std::function<void(bool)> aDone) {
-    if (m_news.IsAmong(base::ToHex(aRequest), 1)) {
+    if (m_news.IsAmongFirst(base::ToHex(aRequest), 1)) {
       m_quarantine.ClaimTry(aRequest, std::move(aDone));
     } else {
       aDone(false);
@@ -141,7 +142,7 @@
   m_quarantine.Start();
   const base::Duration alone = m_options.m_feeds.m_quarantineAlone;
   m_aloneTimer = m_loop.Every(alone, [this, alone] {
-    if (m_news.IsAlone(alone, base::MonotonicNow())) {
+    if (m_news.IsIsolated(alone, base::MonotonicNow())) {
       m_quarantine.OnAlone();
     }
   });
@@ -153,7 +154,7 @@
   if (!m_tellsCrashes) {
     m_tellsCrashes = m_loop.After(kTellCrashesAfter, [this] {
       m_tellsCrashes.reset();
-      m_news.TellCrashes();
+      m_news.PushCrashes();
     });
   }
 }
@@ -254,7 +255,7 @@
     // Reloads are planned many at a time.
     m_loop.Post([this] {
       m_tellsReloads = false;
-      m_news.TellReloads();
+      m_news.PushReloads();
     });
   }
 }
--- a/tests/support/news_fixture.hpp
+++ b/tests/support/news_fixture.hpp
@@ -5,7 +5,7 @@
 #include <optional>   // for optional
 #include <string>     // for string
 
-#include "ferrytray/peers/news_exchange.hpp"   // for NewsExchange
+#include "ferrytray/peers/peer_exchange.hpp"   // for PeerExchange
 #include "tests/support/memory_record_log.hpp" // for MemoryRecordLog
 
 #include <CppUTest/TestHarness.h> // for CHECK
@@ -38,27 +38,27 @@
              OptionsOf(aName, aCapacity, aZone, aReaders))
   {
     m_stores.try_emplace(kStore, cache::StoreTraits{ 10'000 });
-    m_news.OnDirect([this](bool aDirect) { m_direct = aDirect; });
-    m_news.OwnLoads([this] { return m_own; });
+    m_news.OnReaderChange([this](bool aDirect) { m_direct = aDirect; });
+    m_news.SetOwnLoadsProvider([this] { return m_own; });
   }
 
-  static peers::NewsOptions OptionsOf(const std::string& aName,
-                                      std::uint32_t aCapacity,
-                                      const std::string& aZone,
-                                      std::size_t aReaders)
+  static peers::PeerExchangeOptions OptionsOf(const std::string& aName,
+                                              std::uint32_t aCapacity,
+                                              const std::string& aZone,
+                                              std::size_t aReaders)
   {
-    peers::NewsOptions options;
+    peers::PeerExchangeOptions options;
     options.m_listen = { "127.0.0.1", 0 };
     options.m_name = aName;
     options.m_zone = aZone;
     options.m_capacity = aCapacity;
     options.m_topic = "hosts";
     options.m_roster.m_readers = aReaders;
-    options.m_askEvery = 5ms;
-    options.m_lookFirst = 5ms;
-    options.m_lookAgain = 5ms;
-    options.m_enrolRetry = 5ms;
-    options.m_answerWithin = 2s; // the test's own loop may be slow
+    options.m_pollInterval = 5ms;
+    options.m_firstHostsReadDelay = 5ms;
+    options.m_hostsReadRetry = 5ms;
+    options.m_registrationRetry = 5ms;
+    options.m_requestTimeout = 2s; // the test's own loop may be slow
     return options;
   }
 
@@ -66,12 +66,12 @@
 
   support::MemoryRecordLog m_log;
   cache::Stores m_stores;
-  peers::LoadBoard m_others;
-  peers::ReloadBoard m_reloads;
+  peers::LoadTable m_others;
+  peers::ReloadTable m_reloads;
   quarantine::CrashBoard m_crashes;
   peers::EndpointLoads m_own;
   bool m_direct = false;
-  peers::NewsExchange m_news;
+  peers::PeerExchange m_news;
 };
 
 /// Two hosts that exchange news: one that reads the topics and one that follows it.
@@ -112,7 +112,7 @@
     return aCondition();
   }
 
-  std::shared_ptr<store::TopicFollower> FollowWith(peers::NewsExchange& aNews,
+  std::shared_ptr<store::TopicFollower> FollowWith(peers::PeerExchange& aNews,
                                                    store::RecordLog& aLog,
                                                    std::string& aTold,
                                                    const char* aTopic = "t")
@@ -136,7 +136,7 @@
   }
 
   /// Asks the reader as another host would.
-  peers::NewsReply AskReader(peers::NewsRequest aQuestion)
+  peers::SyncReply AskReader(peers::SyncRequest aQuestion)
   {
     const auto reader = peers::DecodePeer(m_reader->m_log.m_topics["hosts"].front().m_value);
     aQuestion.m_sender = { "asker", "z", "127.0.0.1:1", 1 };
@@ -144,12 +144,12 @@
     request.m_method = "POST";
     request.m_url = "http://" + reader->m_address + "/news";
     request.m_body = peers::Encode(aQuestion);
-    std::optional<peers::NewsReply> reply;
+    std::optional<peers::SyncReply> reply;
     m_client->Fetch(std::move(request), [&](const net::ClientOutcome&, const std::string& aBody) {
-      reply = peers::DecodeNewsReply(aBody).value_or(peers::NewsReply{});
+      reply = peers::DecodeSyncReply(aBody).value_or(peers::SyncReply{});
     });
     CHECK(Until([&] { return reply.has_value(); }));
-    return reply.value_or(peers::NewsReply{});
+    return reply.value_or(peers::SyncReply{});
   }
 
   void ReaderHears(std::uint64_t aEpoch, bool aAdded)
