--- a/include/ferrytray/peers/fallback_reader.hpp
+++ b/include/ferrytray/peers/fallback_reader.hpp
@@ -13,18 +13,18 @@
 
 struct FallbackOptions
 {
-  /// Between two questions while nobody could help: when the log is away for all, each host would
-  /// otherwise ask at each tick.
+  /// Between two requests while no reader has records. If the log is down for all hosts, each of
+  /// them would otherwise send a request at every tick.
   base::Duration m_retryInterval = std::chrono::milliseconds(600);
-  /// A host that helped is asked on for so long after the log last failed here, so that records do
-  /// not stop while this host tries the log again.
+  /// How long after the last failure of the log a reader that has records stays in use, so that
+  /// records keep coming while this host retries the log.
   base::Duration m_holdTime = std::chrono::seconds(4);
 };
 
-/// @brief Whom a host asks for the log's records when neither it nor the reader that it follows has
-/// contact with the log: a log that turns some hosts away serves others. Pure.
+/// @brief Chooses a reader to fetch the log's records from when neither this host nor the reader
+/// that it follows can reach the log: a log that rejects some hosts may serve others. Does no I/O.
 ///
-/// One at a time, since hosts count outages of the log each for itself.
+/// Uses one reader at a time, since each host counts the log's outages on its own.
 class FallbackReader
 {
 public:
@@ -33,22 +33,23 @@
   {
   }
 
-  /// @param aReaders in an order that stays the same
-  /// @param aSource the reader that is followed anyway, or empty
-  /// @param aLogLost whether this host has no contact with the log now
+  /// @param aReaders candidates, in an order that stays the same
+  /// @param aSource the reader that this host follows already, or empty
+  /// @param aLogLost whether this host cannot reach the log now
   [[nodiscard]] std::optional<Peer> Pick(std::span<const Peer> aReaders,
                                          std::string_view aSource,
                                          bool aLogLost,
                                          base::TimePoint aNow);
-  /// @brief It was asked and had records from the log, or not.
+  /// @brief Records whether the reader's reply contained usable records of the log.
   void OnAnswer(std::string_view aName, bool aUsable);
-  /// @brief Whether a host is relied on: the reader that is followed cannot end it by having none.
+  /// @brief Whether a fallback reader is in use. If so, a followed reader without records does not
+  /// end the relaying of topics.
   [[nodiscard]] bool IsActive() const { return m_active; }
   [[nodiscard]] const std::string& Name() const { return m_name; }
 
 private:
   FallbackOptions m_options;
-  std::string m_name; ///< asked last
+  std::string m_name; ///< of the reader that was asked last
   bool m_active = false;
   std::size_t m_nextIndex = 0;
   std::optional<base::TimePoint> m_logLostAt;
--- a/include/ferrytray/peers/load_table.hpp
+++ b/include/ferrytray/peers/load_table.hpp
@@ -11,13 +11,13 @@
 
 namespace ferrytray::peers {
 
-/// @brief A short name of an endpoint, so that loads take few bytes. Two endpoints of one short
-/// name would count each other's requests, which only makes a choice worse.
+/// @brief Hash of an endpoint's incarnation that keeps load reports short. Endpoints whose tags
+/// collide share one count, which only makes a routing choice worse.
 using EndpointTag = std::uint32_t;
 
 EndpointTag TagOf(std::string_view aIncarnation);
 
-/// @brief Work that is open at an endpoint (routing::WorkOf).
+/// @brief Work of the requests that are open at an endpoint (routing::WorkOf).
 struct EndpointLoad
 {
   EndpointTag m_endpoint = 0;
@@ -26,20 +26,20 @@
 
 using EndpointLoads = std::vector<EndpointLoad>;
 
-/// @brief Whose requests a host tells of.
+/// @brief Which requests a load report covers.
 enum class LoadScope : std::uint8_t
 {
-  Own,     ///< its own
-  Summary, ///< its own and those of the hosts that report to it
+  Own,     ///< requests of the reporting host
+  Summary, ///< those and the requests of the hosts that report to it
 };
 
 struct LoadTableOptions
 {
-  /// What was not told again for so long is forgotten: several times the interval of reports.
+  /// A report that is not renewed expires after this time: several report intervals.
   base::Duration m_expireAfter = std::chrono::milliseconds(1500);
 };
 
-/// @brief What other hosts have open at endpoints, as they last told. Pure.
+/// @brief Work that other hosts have open at endpoints, by their latest reports. Does no I/O.
 class LoadTable
 {
 public:
@@ -52,14 +52,14 @@
                 LoadScope aScope,
                 EndpointLoads aLoads,
                 base::TimePoint aNow);
-  /// @brief Forgets what is too old.
+  /// @brief Drops expired reports.
   void Expire(base::TimePoint aNow);
 
-  /// @brief Open work of all other hosts at an endpoint.
+  /// @brief Returns the open work of all other hosts at an endpoint.
   [[nodiscard]] std::uint32_t RemoteLoad(EndpointTag aEndpoint) const;
-  /// @brief All that is known, without what one host told itself.
+  /// @brief Returns the totals of all reports except that of one host.
   [[nodiscard]] EndpointLoads AllExcept(const std::string& aHost) const;
-  /// @brief What hosts told of their own requests, together.
+  /// @brief Returns the totals of all reports of scope Own.
   [[nodiscard]] EndpointLoads OwnScopeTotals() const;
 
 private:
@@ -78,7 +78,7 @@
   Totals m_totals;
 };
 
-/// @brief Adds up two lists.
+/// @brief Adds the loads of both lists by endpoint.
 [[nodiscard]] EndpointLoads Sum(const EndpointLoads& aLeft, const EndpointLoads& aRight);
 
 } // namespace ferrytray::peers
--- a/include/ferrytray/peers/messages.hpp
+++ b/include/ferrytray/peers/messages.hpp
@@ -17,44 +17,46 @@
 
 namespace ferrytray::peers {
 
-/// @brief One host asks another for what it does not know yet.
+/// @brief Asks another host for everything that is new since the given cursors, and reports the
+/// sender's own state.
 struct SyncRequest
 {
   Peer m_sender;
-  std::uint64_t m_incarnation = 0;              ///< of the other host, to which the cursors belong
-  std::vector<cache::ContentsCursor> m_cursors; ///< of stores that it wants to hear of
-  std::vector<store::TopicCursor> m_topics;     ///< that it follows through the other host
+  std::uint64_t m_incarnation = 0; ///< of the receiver, as of which the cursors are valid
+  std::vector<cache::ContentsCursor> m_cursors; ///< of the KV stores to get changes of
+  std::vector<store::TopicCursor> m_topics;     ///< that the sender follows through the receiver
   LoadScope m_scope = LoadScope::Own;
-  EndpointLoads m_loads;   ///< of this scope
-  bool m_logLost = false;  ///< it cannot read the log itself
-  ReloadNotices m_reloads; ///< that it ordered or heard of, if it is a reader
+  EndpointLoads m_loads;   ///< with the scope above
+  bool m_logLost = false;  ///< the sender cannot read the log itself
+  ReloadNotices m_reloads; ///< that the sender knows of, if it is a reader
   ReplacementNotices m_replaced;
-  quarantine::CrashNotices m_crashes; ///< that it has not told the other host yet
-  /// Up to where it knows the other host's notices of this kind; for Own scope.
+  quarantine::CrashNotices m_crashes; ///< that the sender has not sent to the receiver yet
+  /// The first of the receiver's crash notices that the sender lacks; used with scope Own.
   quarantine::NoticeNumber m_crashesFrom = 0;
 };
 
-/// @brief The answer.
+/// @brief Reply to a SyncRequest.
 struct SyncReply
 {
-  std::uint64_t m_incarnation = 0; ///< of the host that answers
+  std::uint64_t m_incarnation = 0; ///< of the replying host
   std::vector<store::TopicNews> m_topics;
   std::vector<cache::ContentsDigest> m_stores;
-  /// To a host that tells its own load: all others'. To one that tells a summary: this host's.
+  /// For a request of scope Own: the loads of all other hosts. For scope Summary: those of this
+  /// host and of the hosts that report to it.
   EndpointLoads m_loads;
-  ReloadNotices m_reloads; ///< that it knows of
+  ReloadNotices m_reloads; ///< known to the replying host
   ReplacementNotices m_replaced;
-  std::vector<Peer> m_readers;        ///< hosts of the asking one's zone that read for others
-  quarantine::CrashNotices m_crashes; ///< to a host that tells its own load
-  quarantine::NoticeNumber m_crashesNext = 0; ///< comes after these
+  std::vector<Peer> m_readers;                ///< readers for the zone of the requesting host
+  quarantine::CrashNotices m_crashes;         ///< only for a request of scope Own
+  quarantine::NoticeNumber m_crashesNext = 0; ///< number of the first notice after these
 };
 
 std::string Encode(const Peer& aPeer);
 std::string Encode(const SyncRequest& aRequest);
 std::string Encode(const SyncReply& aReply);
-/// @brief What the record log keeps of a request that ends endpoints.
+/// @brief Encodes the record that the record log keeps of a request that crashes endpoints.
 std::string Encode(const quarantine::Suspicion& aSuspicion);
-/// @return PeerMalformed when the bytes are anything else
+/// @return PeerMalformed if the bytes are not such a message
 base::Result<Peer> DecodePeer(std::string_view aBytes);
 base::Result<SyncRequest> DecodeSyncRequest(std::string_view aBytes);
 base::Result<SyncReply> DecodeSyncReply(std::string_view aBytes);
--- a/include/ferrytray/peers/peer_exchange.hpp
+++ b/include/ferrytray/peers/peer_exchange.hpp
@@ -27,35 +27,40 @@
 
 struct PeerExchangeOptions
 {
-  net::Address m_listen;        ///< for other hosts
-  std::string m_name;           ///< of this host, the same over its restarts
+  net::Address m_listen;        ///< address for requests of other hosts
+  std::string m_name;           ///< of this host; stays the same across restarts
   std::string m_zone;           ///< its availability zone
-  std::uint32_t m_capacity = 0; ///< of its processor and link; only compared
-  std::string m_topic;          ///< keyed; each host's record is its Peer
+  std::uint32_t m_capacity = 0; ///< of processor and link; only compared with that of other hosts
+  std::string m_topic;          ///< keyed topic of the hosts; each host's record is its Peer
   RosterOptions m_roster;
-  /// Between two questions; what is heard is as old at most (ContentsOptions::m_freshFor).
+  /// Between two sync requests; adds up to this much to the age of received data
+  /// (ContentsOptions::m_freshFor).
   base::Duration m_pollInterval = std::chrono::milliseconds(300);
   base::Duration m_requestTimeout = std::chrono::milliseconds(700);
   base::Duration m_connectTimeout = std::chrono::milliseconds(300);
-  /// A host that is asked reads from the stores until it was not asked for so long.
+  /// A host that others poll stays a reader until it has not been polled for this long.
   base::Duration m_readFor = std::chrono::seconds(4);
-  /// After this host enrolled. Hosts that start together do so within some hundred milliseconds,
-  /// and the strongest of them are to be known; each look is charged.
+  /// From the registration of this host to the next read of the hosts. Hosts that start together
+  /// register within some hundred milliseconds of each other, and the ones with most capacity must
+  /// be known by then; every read is charged.
   base::Duration m_firstHostsReadDelay = std::chrono::milliseconds(500);
-  /// Hosts that read look again, in case others enrolled since.
+  /// Readers read the hosts again after this, in case others have registered since; also the retry
+  /// delay.
   base::Duration m_hostsReadRetry = std::chrono::seconds(2);
   base::Duration m_hostsReadInterval = std::chrono::seconds(60);
   base::Duration m_registrationRetry = std::chrono::milliseconds(700);
-  /// For an answer to a question of placement. It takes a millisecond; waiting for long would cost
-  /// the prompt what the answer gains it, some hundred milliseconds at a busy engine.
+  /// For the reply to a placement request. It usually takes a millisecond. A good placement saves a
+  /// prompt some hundred milliseconds at a busy engine; a long wait would cost as much.
   base::Duration m_placementTimeout = std::chrono::milliseconds(40);
-  /// After the hosts are known, another one is given so long to pass the topics on whole: time for
-  /// three questions. Otherwise every host would read them, all at once when all of them start.
+  /// How long another host may take to relay the complete topics once the hosts are known: three
+  /// sync requests. Without this wait every host would read them, all at once when all of them
+  /// start.
   base::Duration m_topicRelayTimeout = std::chrono::milliseconds(1000);
 };
 
-/// @brief What hosts tell each other: new records of the log and what KV stores hold, so that few
-/// of them have to read it there, and what each has open at endpoints.
+/// @brief Exchanges state between hosts: new records of the log and the contents of KV stores, so
+/// that only a few hosts have to read them at the source, and the work that each host has open at
+/// endpoints.
 class PeerExchange
 {
 public:
@@ -69,83 +74,86 @@
                ReloadTable& aReloads,
                quarantine::CrashBoard& aCrashes,
                PeerExchangeOptions aOptions);
-  /// @brief Listens, reads the topic of hosts, enrols there unless it is listed, begins to ask.
+  /// @brief Starts to listen, reads the topic of hosts, registers this host unless it is listed,
+  /// and starts to poll.
   /// @return ListenFailed
   base::Result<void> Start();
-  /// @brief A planned stop has begun: other hosts are to ask elsewhere.
+  /// @brief Begins a planned stop: requests are rejected from now on, so that other hosts use
+  /// another reader.
   void Leave() { m_leaving = true; }
   void Stop();
-  /// @brief Tells the hosts that read for others of reloads at once, not at the next question.
+  /// @brief Sends the reload notices to the other readers now instead of with the next poll.
   void PushReloads();
-  /// @brief Tells other hosts of what the crash board has got at once, not at the next question.
+  /// @brief Sends new notices of the crash board now instead of with the next poll.
   void PushCrashes();
-  /// @brief Calls when another host told of something that the crash board did not know.
+  /// @brief Sets the callback for crash notices of another host that were new to the crash board.
   void OnCrashes(std::function<void()> aCall) { m_onCrashes = std::move(aCall); }
-  /// @brief Another endpoint answered at this incarnation's address: other hosts hear of it with
-  /// the next questions.
+  /// @brief Reports that another endpoint answered at this incarnation's address; sent to other
+  /// hosts with the next polls.
   void ReportReplaced(std::string_view aIncarnation);
-  /// @brief Calls with each incarnation that another host found to be replaced.
+  /// @brief Sets the callback for each incarnation that another host found to be replaced.
   void OnReplaced(std::function<void(IncarnationKey)> aCall) { m_onReplaced = std::move(aCall); }
-  /// @brief Calls when this host is to begin or to stop to read from the stores itself.
+  /// @brief Sets the callback for when this host starts or stops to read from the stores directly.
   void OnReaderChange(std::function<void(bool aIsReader)> aCall)
   {
     m_onReaderChange = std::move(aCall);
   }
-  /// @brief Calls when another host told of a reload that was not known.
+  /// @brief Sets the callback for reload notices of another host that were new.
   void OnReloads(std::function<void()> aCall) { m_onReloads = std::move(aCall); }
-  /// @brief Lets other hosts follow this topic through this one, and the reverse; starts it when no
-  /// other host passes it on. Before Start().
+  /// @brief Relays this topic to other hosts and takes it from them; starts to read it from the log
+  /// if no other host relays it. Call before Start().
   void AddTopic(std::shared_ptr<store::TopicFollower> aTopic)
   {
     m_topics.push_back(std::move(aTopic));
   }
-  /// @brief Answers hosts that ask which engine a prompt is to go to.
+  /// @brief Sets the handler of placement requests from other hosts.
   void OnPlacement(std::function<PlacementReply(const PlacementRequest&)> aCall)
   {
     m_onPlacement = std::move(aCall);
   }
-  /// @brief Who gives out the prompts of a zone's engines, or of all; empty while hosts are
-  /// unknown.
+  /// @brief Returns the host that places the prompts of a zone's engines, or of all engines if the
+  /// zone is empty; none while the hosts are unknown.
   [[nodiscard]] std::optional<Peer> PlacementHost(const std::string& aZone,
                                                   base::TimePoint aNow) const;
-  /// @brief Whether this host is among the first so many by a hash of that name; false while hosts
-  /// are unknown.
+  /// @brief Whether this host is among the first aCount hosts in the hash order for a name; false
+  /// while the hosts are unknown.
   [[nodiscard]] bool IsAmongFirst(std::string_view aName, std::size_t aCount) const
   {
     return m_hostsKnown && m_roster->IsAmongFirst(aName, aCount);
   }
-  /// @brief Whether there are other hosts, and none answered or asked for so long.
+  /// @brief Whether other hosts are known but none has replied or sent a request for this long.
   [[nodiscard]] bool IsIsolated(base::Duration aFor, base::TimePoint aNow) const
   {
     const bool recentContact = m_lastContactAt && aNow < *m_lastContactAt + aFor;
     return m_roster && m_roster->HostCount() > 1 && !recentContact;
   }
-  /// @brief Whether this host reads for others, or there are only a few.
+  /// @brief Whether this host reads from the stores and the log directly, for others or because
+  /// there are only a few hosts.
   [[nodiscard]] bool IsReader() const { return m_isReader; }
   [[nodiscard]] const std::string& Name() const { return m_options.m_name; }
-  /// @brief Whether that is this host.
+  /// @brief Whether aPeer is this host.
   [[nodiscard]] bool IsSelf(const Peer& aPeer) const { return aPeer == m_roster->Self(); }
-  /// @brief Asks a host which engine a prompt is to go to.
-  /// @param aDone called once; empty if there was no answer in time
+  /// @brief Asks a host to choose the engine for a prompt.
+  /// @param aDone called once; empty if no reply came in time
   void RequestPlacement(const Peer& aPeer,
                         const PlacementRequest& aRequest,
                         std::function<void(std::optional<PlacementReply>)> aDone);
-  /// @brief Asks for what this host has open at endpoints.
+  /// @brief Sets the function that returns the work that this host has open at endpoints.
   void SetOwnLoadsProvider(std::function<EndpointLoads()> aCall) { m_ownLoads = std::move(aCall); }
 
 private:
-  /// What belongs to a question until its answer comes.
+  /// State of a sync request until its reply arrives.
   struct PendingRequest
   {
     base::TimePoint m_sentAt;
-    quarantine::NoticeNumber m_crashesSentUpTo = 0; ///< it told all before that number
+    quarantine::NoticeNumber m_crashesSentUpTo = 0; ///< the request has all before this number
   };
-  /// Of one message; the rest comes with the next one.
+  /// Per message; the rest is sent with the next one.
   static constexpr std::size_t kMaxCrashNotices = 512;
-  /// How far another host and this one know each other's crash notices.
+  /// How far this host and another one have exchanged crash notices.
   struct CrashSyncState
   {
-    std::uint64_t m_incarnation = 0; ///< of that host, as it last answered
+    std::uint64_t m_incarnation = 0; ///< of the other host, from its last reply
     quarantine::NoticeNumber m_sentUpTo = 0;
     quarantine::NoticeNumber m_receivedUpTo = 0;
   };
@@ -154,16 +162,16 @@
   void OnHosts(const base::Result<store::Snapshot>& aResult);
   void Register();
   void ScheduleReadHosts(base::Duration aDelay);
-  /// Topics that nobody has passed on are read by this host itself.
+  /// Reads the topics that no other host relays.
   void StartTopics();
   void Tick();
-  /// Asks for the contents of the stores and for all loads.
+  /// Requests store contents, topics and loads from the reader that this host follows.
   void PollSource(const Peer& aSource, base::TimePoint aNow);
   void HandlePlacementRequest(const net::HttpRequest& aRequest,
                               const std::shared_ptr<net::HttpReply>& aReply) const;
-  /// Exchanges loads with another reader.
+  /// Exchanges loads and notices with another reader.
   void PollReader(const Peer& aReader, base::TimePoint aNow);
-  /// Asks for the log's records only, while this host has lost the log.
+  /// Requests only the records of the log, while this host cannot reach the log.
   void PollFallback(base::TimePoint aNow);
   void OnFallbackReply(const Peer& aPeer, base::TimePoint aAskedAt, const SyncReply& aReply);
   [[nodiscard]] std::vector<store::TopicCursor> TopicCursors() const;
@@ -177,10 +185,10 @@
   void SetReader(bool aIsReader, const char* aWhy);
   void ApplyReloads(const ReloadNotices& aNotices, base::TimePoint aNow);
   void ApplyReplacements(const ReplacementNotices& aNotices, base::TimePoint aNow);
-  /// What of the crash board this host has not told that one.
+  /// Adds the crash notices that aPeer has not received yet.
   void AddCrashNotices(const Peer& aPeer, SyncRequest& aSyncRequest);
   void ApplyCrashes(const quarantine::CrashNotices& aNotices, base::TimePoint aNow);
-  /// The answer came to a question that told notices up to that number.
+  /// aPeer replied to a request that carried the crash notices before aUpTo.
   void OnCrashNoticesAcknowledged(const Peer& aPeer,
                                   const SyncReply& aReply,
                                   quarantine::NoticeNumber aUpTo);
@@ -190,10 +198,10 @@
     base::TimePoint aNow) const;
   void ApplyTopicUpdates(const std::vector<store::TopicNews>& aNews,
                          base::TimePoint aAskedAt) const;
-  /// The topic that these are of, if it can go by them; else null.
+  /// Returns the topic that the update belongs to if it can use the update, else null.
   [[nodiscard]] store::TopicFollower* FindUsableTopic(const store::TopicNews& aNews,
                                                       base::TimePoint aAskedAt) const;
-  /// News do not come any more: each topic is read by this host itself.
+  /// Ends the relaying of all topics: this host reads them from the log.
   void EndTopicUpdates() const;
 
   net::Loop& m_loop;
@@ -206,7 +214,7 @@
   store::UnreadableRecords m_unreadable;
   PeerExchangeOptions m_options;
   std::uint64_t m_incarnation;
-  std::optional<Roster> m_roster; ///< once the own address is known
+  std::optional<Roster> m_roster; ///< set once the own address is known
   std::unique_ptr<net::HttpServer> m_server;
   std::vector<std::shared_ptr<store::TopicFollower>> m_topics;
   std::function<void(bool)> m_onReaderChange;
@@ -215,20 +223,20 @@
   std::function<void(IncarnationKey)> m_onReplaced;
   std::function<PlacementReply(const PlacementRequest&)> m_onPlacement;
   std::function<EndpointLoads()> m_ownLoads;
-  std::string m_source;                  ///< name of the host that was asked last
-  std::uint64_t m_sourceIncarnation = 0; ///< to which the cursors belong
+  std::string m_source;                  ///< name of the reader that is followed
+  std::uint64_t m_sourceIncarnation = 0; ///< as of which the cursors are valid
   std::optional<base::TimePoint> m_lastPolledAt;
-  std::optional<base::TimePoint> m_lastContactAt; ///< another host answered or asked
+  std::optional<base::TimePoint> m_lastContactAt; ///< last reply or request of another host
   FallbackReader m_fallback;
   ReplacementTable m_replaced;
   std::map<std::string, CrashSyncState> m_crashSync; ///< by host
-  std::set<std::string> m_pendingHosts;              ///< names of hosts that have not answered yet
+  std::set<std::string> m_pendingHosts;              ///< names of hosts whose reply is outstanding
   bool m_isReader = false;
   bool m_leaving = false;
   bool m_stopped = false;
   bool m_enrolled = false;           ///< in this process
-  bool m_hostsKnown = false;         ///< it knows the hosts and they can know it
-  base::TimePoint m_startTopicsAt{}; ///< then topics are read that nobody passed on
+  bool m_hostsKnown = false;         ///< the hosts are known, so that polling can begin
+  base::TimePoint m_startTopicsAt{}; ///< earliest time to read unrelayed topics from the log
   net::TimerHandle m_tick;
   net::TimerHandle m_hostsTimer;
 };
--- a/include/ferrytray/peers/reload_table.hpp
+++ b/include/ferrytray/peers/reload_table.hpp
@@ -10,20 +10,20 @@
 
 namespace ferrytray::peers {
 
-/// @brief An engine begins nothing from now until then, since it loads weights. Hosts have no
-/// common clock: the time counts from when the message was written.
+/// @brief Announces that an engine begins no requests until a given time since it loads weights.
+/// The time is relative to the writing of the message, as hosts have no common clock.
 struct ReloadNotice
 {
   EndpointTag m_endpoint = 0;
   std::string m_model;
-  std::uint32_t m_version = 0;     ///< weights that it has afterwards
-  std::int32_t m_endsInMillis = 0; ///< negative: over for so long
-  std::uint64_t m_revision = 0;    ///< grows with each change; the higher one counts
+  std::uint32_t m_version = 0;     ///< weights after the reload
+  std::int32_t m_endsInMillis = 0; ///< negative: has ended this long ago
+  std::uint64_t m_revision = 0; ///< grows with each change; the notice with the highest one applies
 };
 
 using ReloadNotices = std::vector<ReloadNotice>;
 
-/// @brief What an engine runs after a reload that was announced.
+/// @brief Weights that an engine runs after an announced reload.
 struct ReloadedWeights
 {
   EndpointTag m_endpoint = 0;
@@ -33,19 +33,20 @@
 
 struct ReloadTableOptions
 {
-  /// An ended reload is kept for so long, so that all hosts hear of its end: two questions between
-  /// hosts, and one that was missed.
+  /// How long an ended reload is kept so that its end reaches all hosts: two polls on the way
+  /// between hosts, and one that failed.
   base::Duration m_retention = std::chrono::milliseconds(2500);
-  /// A notice with a later end is no reload: weights take a second or a few.
+  /// A notice with a later end is rejected: loading weights takes a few seconds at most.
   base::Duration m_maxDuration = std::chrono::seconds(60);
-  /// Engines whose reload is known at once; more are dropped, so that memory stays bounded.
+  /// Reloads kept at a time; further ones are dropped to bound memory.
   std::size_t m_maxEntries = 4096;
 };
 
-/// @brief Which engines are about to load weights or do so now, as whoever orders it told. Pure.
+/// @brief Engines that load weights now or are about to, by the notices of the host that orders the
+/// reload. Does no I/O.
 ///
-/// An engine rejects what reaches it while it loads. A host sends an engine a request every few
-/// seconds, so by its own rejections it would learn of a reload when that is over.
+/// An engine rejects requests while it loads. A host sends an engine a request only every few
+/// seconds, so it would detect a reload by rejections only when it is over.
 class ReloadTable
 {
 public:
@@ -54,15 +55,15 @@
   {
   }
 
-  /// @return whether it was taken; one that is older than what is known, or no reload, is not
+  /// @return whether the notice was applied; one that is outdated or implausible is not
   bool OnNotice(const ReloadNotice& aNotice, base::TimePoint aNow);
-  /// @brief Whether the engine begins nothing now.
+  /// @brief Whether the engine loads weights now.
   [[nodiscard]] bool IsReloading(EndpointTag aEndpoint, base::TimePoint aNow) const;
-  /// @brief Reloads that have ended since the last call.
+  /// @brief Returns the reloads that have ended since the last call.
   [[nodiscard]] std::vector<ReloadedWeights> TakeEnded(base::TimePoint aNow);
-  /// @brief All that is known, to pass on.
+  /// @brief Returns all known reloads, to forward them.
   [[nodiscard]] ReloadNotices Notices(base::TimePoint aNow) const;
-  /// @brief Forgets what ended long ago.
+  /// @brief Drops reloads that ended longer ago than the retention.
   void Expire(base::TimePoint aNow);
 
 private:
@@ -72,7 +73,7 @@
     std::uint32_t m_version = 0;
     base::TimePoint m_endsAt;
     std::uint64_t m_revision = 0;
-    bool m_endReported = false; ///< by TakeEnded()
+    bool m_endReported = false; ///< it was returned by TakeEnded()
   };
 
   ReloadTableOptions m_options;
--- a/include/ferrytray/peers/replacement_table.hpp
+++ b/include/ferrytray/peers/replacement_table.hpp
@@ -10,34 +10,35 @@
 
 namespace ferrytray::peers {
 
-/// @brief An incarnation in few bytes. What is told of one is final, so it is wider than an
-/// EndpointTag: of 3,000 endpoints two have one key once in 10^12.
+/// @brief Hash of an incarnation. A replacement is final, so the key is wider than an EndpointTag:
+/// among 3,000 endpoints two share a key with a probability of 10^-12.
 using IncarnationKey = std::uint64_t;
 
 IncarnationKey KeyOf(std::string_view aIncarnation);
 
-/// @brief Another endpoint answered at an incarnation's address.
+/// @brief Announces that another endpoint answered at an incarnation's address.
 struct ReplacementNotice
 {
   IncarnationKey m_incarnation = 0;
-  std::int32_t m_ageMillis = 0; ///< since a host found it; hosts have no common clock
+  std::int32_t m_ageMillis = 0; ///< since a host detected it; hosts have no common clock
 };
 
 using ReplacementNotices = std::vector<ReplacementNotice>;
 
 struct ReplacementTableOptions
 {
-  /// Passed on for so long: by then the directory no longer lists a crashed endpoint.
+  /// How long notices are forwarded: after this the directory no longer lists a crashed endpoint.
   base::Duration m_retention = std::chrono::milliseconds(5000);
-  /// Known at once; more are dropped, so that memory stays bounded.
+  /// Notices kept at a time; further ones are dropped to bound memory.
   std::size_t m_maxEntries = 4096;
 };
 
-/// @brief Which incarnations are gone, as some host found. Pure.
+/// @brief Incarnations that a host found to be replaced. Does no I/O.
 ///
-/// An endpoint that starts anew at its address rejects what is sent to its former life. The
-/// directory tells of that some seconds later; until then each host would find out by a rejected
-/// request of its own, and those count as repeats against the budget of all hosts.
+/// An endpoint that has restarted at its address rejects requests to its former incarnation. The
+/// directory shows the restart only seconds later; until then each host would find out by a
+/// rejected request of its own, and the retries of those count against the budget that all hosts
+/// share.
 class ReplacementTable
 {
 public:
@@ -46,11 +47,11 @@
   {
   }
 
-  /// @return whether it was not known
+  /// @return whether the notice was new
   bool OnNotice(const ReplacementNotice& aNotice, base::TimePoint aNow);
-  /// @brief All that is known, to pass on.
+  /// @brief Returns all known replacements, to forward them.
   [[nodiscard]] ReplacementNotices Notices(base::TimePoint aNow) const;
-  /// @brief Forgets what was found long ago.
+  /// @brief Drops replacements that are older than the retention.
   void Expire(base::TimePoint aNow);
 
 private:
--- a/include/ferrytray/peers/roster.hpp
+++ b/include/ferrytray/peers/roster.hpp
@@ -13,30 +13,31 @@
 
 namespace ferrytray::peers {
 
-/// @brief Another host of the system.
+/// @brief A host, as it is registered in the topic of hosts.
 struct Peer
 {
   std::string m_name;
   std::string m_zone;           ///< availability zone
-  std::string m_address;        ///< IP:PORT where it answers other hosts
-  std::uint32_t m_capacity = 0; ///< of its processor and link; only compared
+  std::string m_address;        ///< IP:PORT for requests of other hosts
+  std::uint32_t m_capacity = 0; ///< of processor and link; only compared with that of other hosts
   bool operator==(const Peer&) const = default;
 };
 
 struct RosterOptions
 {
-  /// Hosts that read from each KV store. A store answers 12 readers at once on the users' sites;
-  /// the rest is for hosts that take over and for those that were just replaced.
+  /// Hosts that read from each KV store. At the users' sites a store serves 12 readers at once; the
+  /// difference is left for hosts that take over and for readers that were just replaced.
   std::size_t m_readers = 8;
-  base::Duration m_backoffMin = std::chrono::milliseconds(1000); ///< after a peer did not answer
+  /// Backoff after the first failed request to a peer; doubles with each further one.
+  base::Duration m_backoffMin = std::chrono::milliseconds(1000);
   base::Duration m_backoffMax = std::chrono::milliseconds(16000);
 };
 
-/// @brief The hosts that this one knows of, and which of them it asks for news. Pure.
+/// @brief The known hosts, and which of them read for others. Does no I/O.
 ///
-/// Some hosts of each zone, the strongest, read the KV stores and the record log for all others
-/// there, so that what these bear does not depend on the number of hosts. Every host finds them by
-/// the same rule.
+/// The hosts of each zone with most capacity read the KV stores and the record log for all others
+/// there, so that the load on these does not grow with the number of hosts. Every host determines
+/// them by the same rule.
 class Roster
 {
 public:
@@ -50,16 +51,17 @@
   void OnRequestSucceeded(const std::string& aName);
   void OnRequestFailed(const std::string& aName, base::TimePoint aNow);
 
-  /// @brief Whom this host asks; empty: it reads from the stores itself.
+  /// @brief Returns the reader that this host polls; none if it is a reader itself.
   [[nodiscard]] std::optional<Peer> Source(base::TimePoint aNow) const;
-  /// @brief Of a host that reads from the stores: the others that do.
+  /// @brief Returns the readers of all zones except this host.
   [[nodiscard]] std::vector<Peer> OtherReaders(base::TimePoint aNow) const;
-  /// @brief Those that read for the hosts of a zone.
+  /// @brief Returns the readers for the hosts of a zone.
   [[nodiscard]] std::vector<Peer> ReadersOf(const std::string& aZone, base::TimePoint aNow) const;
-  /// @brief The first by rank of a zone's hosts, or of all if the zone is empty; may be this one.
+  /// @brief Returns the highest-ranked reachable host of a zone, or of all zones if aZone is empty;
+  /// may be this host.
   [[nodiscard]] Peer HighestRanked(const std::string& aZone, base::TimePoint aNow) const;
-  /// @brief Whether this host is among the first so many of all known hosts by a hash of that name,
-  /// reachable or not, so that hosts agree.
+  /// @brief Whether this host is among the first aCount of all known hosts in the hash order for a
+  /// name. Unreachable hosts count too, so that all hosts agree.
   [[nodiscard]] bool IsAmongFirst(std::string_view aName, std::size_t aCount) const;
   [[nodiscard]] const Peer& Self() const { return m_self; }
   [[nodiscard]] std::size_t HostCount() const { return m_peers.size() + 1; }
@@ -68,12 +70,13 @@
   struct Entry
   {
     Peer m_peer;
-    std::uint32_t m_failures = 0; ///< in a row
+    std::uint32_t m_failures = 0; ///< consecutive failed requests
     std::optional<base::TimePoint> m_backoffUntil;
   };
 
   [[nodiscard]] std::set<std::string> Zones() const;
-  /// @brief The readers for the hosts of a zone, by rank.
+  /// @brief Returns the readers for the hosts of a zone. They are ordered by rank unless all hosts
+  /// are readers.
   [[nodiscard]] std::vector<const Peer*> RankedReaders(const std::string& aZone,
                                                        base::TimePoint aNow) const;
   [[nodiscard]] std::vector<const Peer*> Reachable(base::TimePoint aNow) const;
--- a/include/ferrytray/peers/unreachable_table.hpp
+++ b/include/ferrytray/peers/unreachable_table.hpp
@@ -11,14 +11,14 @@
 
 struct UnreachableTableOptions
 {
-  /// What a host told counts for so long: it tells of an endpoint anew while it avoids it.
+  /// How long a report counts. A host repeats it while it avoids the endpoint.
   base::Duration m_retention = std::chrono::milliseconds(700);
 };
 
-/// @brief Endpoints that several hosts could not reach lately. Pure.
+/// @brief Endpoints that several hosts could not reach recently. Does no I/O.
 ///
-/// An endpoint that crashed is in the directory for seconds more. One host's word is not enough:
-/// that host may be the one that is cut off.
+/// The directory lists a crashed endpoint for some more seconds. The report of one host does not
+/// suffice, since that host itself may be cut off.
 class UnreachableTable
 {
 public:
@@ -30,7 +30,7 @@
   void OnReport(const std::string& aHost,
                 std::span<const EndpointTag> aEndpoints,
                 base::TimePoint aNow);
-  /// @brief Whether two hosts or more told of it lately.
+  /// @brief Whether at least two hosts reported the endpoint recently.
   [[nodiscard]] bool IsUnreachable(EndpointTag aEndpoint, base::TimePoint aNow) const;
 
 private:
--- a/src/ferrytray/peers/archive.hpp
+++ b/src/ferrytray/peers/archive.hpp
@@ -15,10 +15,11 @@
 
 namespace ferrytray::peers {
 
-/// Both ends are of one version but while hosts are replaced; another version's bytes are refused.
+/// All hosts run the same version except during an upgrade; messages of another format version are
+/// rejected.
 inline constexpr std::uint32_t kFormatVersion = 0x66740005;
 
-/// @brief A message between hosts as bytes.
+/// @brief Serializes a message between hosts.
 template<typename Message>
 std::string WriteMessage(const Message& aMessage)
 {
@@ -30,7 +31,7 @@
   return bytes.str();
 }
 
-/// @return PeerMalformed when the bytes are anything else
+/// @return PeerMalformed if the bytes are not such a message
 template<typename Message>
 base::Result<Message> ReadMessage(std::string_view aBytes)
 {
@@ -40,7 +41,7 @@
     Message message;
     archive(format);
     if (format != kFormatVersion) {
-      return base::Fail(base::ErrorCode::PeerMalformed, "another format");
+      return base::Fail(base::ErrorCode::PeerMalformed, "format version mismatch");
     }
     archive(message);
     return message;
--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -22,8 +22,8 @@
   aArchive(aCursor.m_store, aCursor.m_series, aCursor.m_next);
 }
 
-/// Its clock is written as a flag and a number: cereal's own reader of optional values needs C++17
-/// headers that the bounded archive does not go with.
+/// The optional clock is written as a flag and a number: cereal's reader for std::optional needs
+/// C++17 headers that do not work with BoundedInputArchive.
 template<typename Archive>
 void serialize(Archive& aArchive, ContentsDigest& aDigest)
 {
--- a/src/ferrytray/peers/peer_exchange.cpp
+++ b/src/ferrytray/peers/peer_exchange.cpp
@@ -25,7 +25,8 @@
 {
   base::Result<Peer> peer = DecodePeer(aRecord.m_value);
   if (peer && peer->m_name != aRecord.m_key) {
-    return base::Fail(base::ErrorCode::PlatformMalformed, "the record is another host's");
+    return base::Fail(base::ErrorCode::PlatformMalformed,
+                      "the name of the peer differs from the record's key");
   }
   return peer;
 }
@@ -97,7 +98,7 @@
   if (!aResult) {
     telemetry::LogLine("hosts").Add("outcome", "failed").Add("why", aResult.error().m_message);
     StartTopics();
-    // Those that an earlier look found may be asked though the log has gone away since.
+    // Hosts from an earlier read can be polled although the log is unreachable now.
     m_hostsKnown = m_hostsKnown || m_roster->HostCount() > 1;
     ScheduleReadHosts(m_options.m_hostsReadRetry);
     return;
@@ -150,7 +151,7 @@
 void PeerExchange::ScheduleReadHosts(base::Duration aDelay)
 {
   m_hostsTimer = m_loop.After(aDelay, [this] {
-    // A host that follows another one hears from that one who reads.
+    // A follower gets the list of readers from the reader that it follows.
     if (m_isReader || !m_hostsKnown) {
       ReadHosts();
     } else {
@@ -173,12 +174,12 @@
   m_reloads.Expire(now);
   m_replaced.Expire(now);
   if (!m_hostsKnown) {
-    return; // nobody is known yet
+    return; // no other host is known yet
   }
   const std::optional<Peer> source = m_roster->Source(now);
   const bool polled = m_lastPolledAt && now < *m_lastPolledAt + m_options.m_readFor;
   if (source) {
-    SetReader(polled, polled ? "asked by others" : "another host reads");
+    SetReader(polled, polled ? "polled by other hosts" : "another host is the reader");
   } else {
     SetReader(true, "reader by rank");
   }
@@ -213,7 +214,8 @@
 void PeerExchange::PollSource(const Peer& aSource, base::TimePoint aNow)
 {
   if (m_source != aSource.m_name) {
-    // The new source tells of the same hosts: counted twice, all endpoints would look busier.
+    // The new source reports the loads of the same hosts. Counted twice, all endpoints would look
+    // busier.
     m_loads.OnReport(m_source, LoadScope::Summary, {}, aNow);
     EndTopicUpdates();
     m_source = aSource.m_name;
@@ -312,7 +314,7 @@
     if (aSource.m_name == m_fallback.Name() && !reply->m_topics.empty()) {
       OnFallbackReply(aSource, aPending.m_sentAt, *reply);
     }
-    return; // this host reads by itself meanwhile, or asks another one
+    return; // this host has become a reader meanwhile, or follows another one
   }
   m_sourceIncarnation = reply->m_incarnation;
   ApplyTopicUpdates(reply->m_topics, aPending.m_sentAt);
@@ -337,7 +339,7 @@
     return;
   }
   if (m_leaving || m_stopped) {
-    aReply->Send(kUnavailable, {}, "this host stops");
+    aReply->Send(kUnavailable, {}, "this host is shutting down");
     return;
   }
   const base::TimePoint now = base::MonotonicNow();
@@ -356,7 +358,7 @@
   reply.m_loads = m_ownLoads();
   if (syncRequest->m_scope == LoadScope::Own) {
     m_lastPolledAt = now;
-    SetReader(true, "asked by others");
+    SetReader(true, "polled by other hosts");
     reply.m_loads = Sum(reply.m_loads, m_loads.AllExcept(syncRequest->m_sender.m_name));
     reply.m_readers = m_roster->ReadersOf(syncRequest->m_sender.m_zone, now);
     const quarantine::NoticeNumber from =
--- a/src/ferrytray/peers/peer_exchange_test.cpp
+++ b/src/ferrytray/peers/peer_exchange_test.cpp
@@ -53,7 +53,7 @@
   const auto enrolled = m_reader->m_log.m_topics["hosts"];
   NewsHost again(m_loop, *m_client, "reader", 9);
   store::Record own = enrolled.front();
-  // Its address is the one that it had before.
+  // The restarted host listens on its former address.
   again.m_log.m_topics["hosts"] = { own };
   m_reader->m_news.Stop();
   const std::string address = peers::DecodePeer(own.m_value)->m_address;
@@ -76,7 +76,8 @@
   news.Stop();
 }
 
-// Load: hundreds of hosts start at once. What each asks of the log does not grow with their number.
+// Guards against a load on the log that grows faster than the number of hosts when hundreds of them
+// start at once.
 TEST(PeerExchange, OnlyReadersReadTopicsWhenManyHostsStartAtOnce)
 {
   constexpr std::size_t kHosts = 60;
@@ -113,7 +114,7 @@
   }));
   LONGS_EQUAL(1, log.m_snapshotsOf["t"]);
   LONGS_EQUAL(kHosts, log.m_topics["hosts"].size());
-  // Two looks of each host, and a few more of the one that reads.
+  // Two reads of each host, and a few more of the reader.
   CHECK(log.m_snapshotsOf["hosts"] < 3 * kHosts);
   for (std::size_t i = 0; i < kHosts; ++i) {
     topics[i]->Stop();
@@ -149,7 +150,7 @@
   peers::PlacementRequest placementRequest;
   placementRequest.m_key = "k";
   bool answered = false;
-  for (int i = 0; i < 100 && engine.empty(); ++i) { // the test's own loop may be slow
+  for (int i = 0; i < 100 && engine.empty(); ++i) { // the loop of the test may be slow
     answered = false;
     m_follower->m_news.RequestPlacement(*host, placementRequest, [&](const auto& aReply) {
       answered = true;
--- a/src/ferrytray/peers/peer_notices.cpp
+++ b/src/ferrytray/peers/peer_notices.cpp
@@ -1,5 +1,5 @@
-// What hosts tell each other of single endpoints: loads of weights, lives that are over, and
-// requests under which they ended.
+// Exchange of notices on single endpoints: reloads of weights, replaced incarnations, and requests
+// that crashed endpoints.
 #include "ferrytray/peers/peer_exchange.hpp"
 
 namespace ferrytray::peers {
@@ -69,7 +69,7 @@
   CrashSyncState& state = m_crashSync[aPeer.m_name];
   const bool restarted = state.m_incarnation != 0 && state.m_incarnation != aReply.m_incarnation;
   state.m_incarnation = aReply.m_incarnation;
-  // A host that has started anew knows nothing of what its former life was told.
+  // A restarted host has lost the notices that were sent to it before.
   state.m_sentUpTo = restarted ? 0 : aUpTo;
   state.m_receivedUpTo = aReply.m_crashesNext;
 }
--- a/src/ferrytray/peers/peer_notices_test.cpp
+++ b/src/ferrytray/peers/peer_notices_test.cpp
@@ -1,4 +1,4 @@
-// What hosts tell each other of reloads, replaced endpoints and requests that end endpoints.
+// Exchange of notices on reloads, replaced endpoints and requests that crash endpoints.
 #include <vector> // for vector
 
 #include "tests/support/news_fixture.hpp" // for NewsFixture
@@ -40,7 +40,7 @@
     return m_reader->m_crashes.IsQuarantined(request) &&
            m_follower->m_crashes.IsQuarantined(request);
   }));
-  // A host that has answered it whole clears it for all.
+  // A host that has answered the request completely lifts the quarantine on all hosts.
   m_follower->m_crashes.OnAnswered(request);
   CHECK(Until([&] { return !m_reader->m_crashes.IsQuarantined(request); }));
 }
@@ -75,7 +75,7 @@
   CHECK(host.m_news.Start().has_value());
   CHECK(Until([&] { return noticeCounts.size() >= 3; }));
   LONGS_EQUAL(1, noticeCounts[0]);
-  LONGS_EQUAL(0, noticeCounts[1]); // it was told
+  LONGS_EQUAL(0, noticeCounts[1]); // it has been sent before
   incarnation = 2;
   const std::size_t before = noticeCounts.size();
   CHECK(Until([&] { return noticeCounts.size() >= before + 4; }));
--- a/src/ferrytray/peers/peer_topics.cpp
+++ b/src/ferrytray/peers/peer_topics.cpp
@@ -1,4 +1,5 @@
-// The log's records through other hosts: what is passed on, and whom a host asks that lost the log.
+// Relaying of the log's records between hosts, and the fallback reader of a host that cannot reach
+// the log.
 #include "ferrytray/peers/peer_exchange.hpp"
 
 #include <algorithm> // for any_of, find_if
@@ -35,7 +36,7 @@
   bool usable = false;
   for (const store::TopicNews& news : aReply.m_topics) {
     if (store::TopicFollower* topic = FindUsableTopic(news, aAskedAt)) {
-      // What this host reads itself needs no help.
+      // Topics that this host reads from the log need no fallback.
       const bool wanted = topic->IsAway() || topic->IsByNews();
       usable = usable || wanted;
       if (wanted) {
@@ -48,7 +49,7 @@
     telemetry::LogLine("asks_host")
       .Add("host", aPeer.m_name)
       .Add("address", aPeer.m_address)
-      .Add("why", "the log does not answer here");
+      .Add("why", "the log is unreachable from this host");
   }
 }
 
@@ -97,7 +98,7 @@
 {
   for (const store::TopicNews& news : aNews) {
     for (const auto& topic : m_topics) {
-      // A reader that lost the log does not end what another one passes on.
+      // An unusable update from the followed reader must not end what a fallback reader relays.
       const bool accepted = !m_fallback.IsActive() || FindUsableTopic(news, aAskedAt) != nullptr;
       if (topic->Topic() == news.m_topic && accepted) {
         topic->OnNews(news, aAskedAt);
--- a/src/ferrytray/peers/peer_topics_test.cpp
+++ b/src/ferrytray/peers/peer_topics_test.cpp
@@ -1,4 +1,4 @@
-// Topics that some hosts read and pass on to the others.
+// Topics that readers relay to other hosts.
 #include <array>  // for array
 #include <vector> // for vector
 
@@ -34,7 +34,7 @@
 {
   m_follower->m_log.AppendKeyed("t", "a", "1", [](const auto&) {});
   std::string keys;
-  const auto topic = Follow(*m_follower, keys); // the reader does not follow it
+  const auto topic = Follow(*m_follower, keys); // the reader does not follow this topic
   CHECK(Until([&] { return keys == "a"; }));
   topic->Stop();
 }
@@ -57,8 +57,8 @@
   followerTopic->Stop();
 }
 
-// Seen: a host behind a reader took an old configuration for the newest, since the reader told the
-// age of its youngest contact with the log, whatever topic that was of. Proved by this test.
+// Guards against a follower that takes an old configuration for the newest: a reader used to report
+// the age of its latest contact with the log for any topic.
 TEST(PeerTopics, RecordAgeIsTrackedPerTopic)
 {
   m_reader->m_log.AppendKeyed("t", "a", "1", [](const auto&) {});
@@ -83,8 +83,7 @@
   quiet->Stop();
 }
 
-// Load: the log turns some hosts away, among them the reader that others follow, and serves the
-// rest.
+// The log rejects some hosts, among them the reader that others follow, and serves the rest.
 TEST(PeerTopics, AFallbackReaderServesHostsWhoseReaderLostTheLog)
 {
   const auto make = [&](const char* aName, std::uint32_t aCapacity, const char* aZone) {
--- a/src/ferrytray/peers/placement_exchange.cpp
+++ b/src/ferrytray/peers/placement_exchange.cpp
@@ -1,4 +1,5 @@
-// Which engine a long prompt goes to: the question to the host that gives them out, and its answer.
+// Placement of long prompts: sends requests to the host that places them, and handles those of
+// other hosts.
 #include "ferrytray/peers/peer_exchange.hpp"
 
 #include <utility> // for move
@@ -61,7 +62,7 @@
     return;
   }
   if (m_leaving || m_stopped || !m_onPlacement) {
-    aReply->Send(kUnavailable, {}, "this host gives out no prompts");
+    aReply->Send(kUnavailable, {}, "this host does not place prompts");
     return;
   }
   aReply->Send(kOk,
--- a/src/ferrytray/peers/reload_table_test.cpp
+++ b/src/ferrytray/peers/reload_table_test.cpp
@@ -43,7 +43,7 @@
   CHECK(m_table.TakeEnded(m_now + 1600ms).empty());
 }
 
-// Load: notices come by several hosts and overtake each other.
+// Notices arrive through several hosts and out of order.
 TEST(ReloadTable, OlderRevisionsAreIgnored)
 {
   CHECK(ReceiveNotice(1500, 2));
@@ -85,8 +85,9 @@
   CHECK(m_table.Notices(m_now).empty());
 }
 
-// Load: hundreds of hosts send to one engine once in seconds each, and it loads for a second: by
-// its own rejections a host learns nothing. All hear of it within one question to their reader.
+// Each of hundreds of hosts sends to an engine only every few seconds, while a reload takes one
+// second, so that rejections alone detect it too late. Notices must reach all hosts within one poll
+// of their reader.
 TEST(ReloadTable, NoticesReachHundredsOfHostsEarlyInAReload)
 {
   constexpr std::size_t kHosts = 300;
@@ -97,7 +98,8 @@
   for (peers::EndpointTag engine = 0; engine < 27; ++engine) {
     hosts[0].OnNotice({ engine, "m", 2, kLoadMillis, engine + 1 }, m_now);
   }
-  // The host that orders tells readers at once; the others ask theirs in turn.
+  // The host that orders the reload notifies the readers at once; the others poll theirs one after
+  // the other.
   for (std::size_t reader = 1; reader < kReaders; ++reader) {
     for (const auto& notice : hosts[0].Notices(m_now)) {
       hosts[reader].OnNotice(notice, m_now);
@@ -111,7 +113,7 @@
     }
     totalDelay += asks - m_now;
   }
-  // Of the load's time, hosts still send for a seventh on the mean.
+  // On average, hosts still send to a loading engine for at most a seventh of the reload.
   CHECK(totalDelay / kHosts <= std::chrono::milliseconds(kLoadMillis) / 7);
   for (const peers::ReloadTable& host : hosts) {
     for (peers::EndpointTag engine = 0; engine < 27; ++engine) {
--- a/src/ferrytray/peers/roster.cpp
+++ b/src/ferrytray/peers/roster.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kReaderRankSeed = "reader";
 
-/// Sorts by a hash that all hosts compute alike.
+/// Sorts by a hash that is the same on all hosts.
 void SortByHash(std::vector<const Peer*>& aPeers, std::string_view aSeed)
 {
   std::sort(aPeers.begin(), aPeers.end(), [aSeed](const Peer* aLeft, const Peer* aRight) {
@@ -18,7 +18,7 @@
   });
 }
 
-/// The strongest first; all hosts compute the same order.
+/// Sorts by descending capacity; the order is the same on all hosts.
 void SortByRank(std::vector<const Peer*>& aPeers)
 {
   SortByHash(aPeers, kReaderRankSeed);
@@ -104,7 +104,7 @@
   if (std::find(readers.begin(), readers.end(), &m_self) != readers.end()) {
     return std::nullopt;
   }
-  // The zone's readers share its hosts.
+  // Spreads the hosts of the zone over its readers.
   SortByHash(readers, m_self.m_name);
   return *readers.front();
 }
--- a/src/ferrytray/peers/unreachable_table_test.cpp
+++ b/src/ferrytray/peers/unreachable_table_test.cpp
@@ -18,7 +18,7 @@
   }
 };
 
-// Load: a third of the engines crashes at once; the directory tells seconds later.
+// A third of the engines crashes at once; the directory removes them only seconds later.
 TEST(UnreachableTable, AnEndpointReportedByTwoHostsIsUnreachable)
 {
   Report("h1", { 1, 2 });
@@ -28,7 +28,7 @@
   CHECK(m_table.IsUnreachable(2, m_now));
 }
 
-// Load: one host is cut off from all engines.
+// One host is cut off from all engines.
 TEST(UnreachableTable, RepeatedReportsOfOneHostDoNotSuffice)
 {
   for (int i = 0; i < 5; ++i) {
