--- a/include/ferrytray/peers/fallback_reader.hpp
+++ b/include/ferrytray/peers/fallback_reader.hpp
@@ -53,7 +53,7 @@
   bool m_active = false;
   std::size_t m_nextIndex = 0;
   std::optional<base::TimePoint> m_logLostAt;
-  std::optional<base::TimePoint> m_askedAt;
+  std::optional<base::TimePoint> m_lastRequestAt;
 };
 
 } // namespace ferrytray::peers
--- a/include/ferrytray/peers/peer_exchange.hpp
+++ b/include/ferrytray/peers/peer_exchange.hpp
@@ -234,7 +234,7 @@
   bool m_isReader = false;
   bool m_leaving = false;
   bool m_stopped = false;
-  bool m_enrolled = false;           ///< in this process
+  bool m_registered = false;         ///< in this process
   bool m_hostsKnown = false;         ///< the hosts are known, so that polling can begin
   base::TimePoint m_startTopicsAt{}; ///< earliest time to read unrelayed topics from the log
   net::TimerHandle m_tick;
--- a/src/ferrytray/peers/fallback_reader.cpp
+++ b/src/ferrytray/peers/fallback_reader.cpp
@@ -16,18 +16,18 @@
     m_logLostAt && (aLogLost || (m_active && aNow < *m_logLostAt + m_options.m_holdTime));
   if (!needed) {
     m_active = false;
-    m_askedAt.reset();
+    m_lastRequestAt.reset();
     return std::nullopt;
   }
-  if (!m_active && m_askedAt && aNow < *m_askedAt + m_options.m_retryInterval) {
+  if (!m_active && m_lastRequestAt && aNow < *m_lastRequestAt + m_options.m_retryInterval) {
     return std::nullopt;
   }
-  const auto asked = std::find_if(aReaders.begin(), aReaders.end(), [&](const Peer& aPeer) {
+  const auto current = std::find_if(aReaders.begin(), aReaders.end(), [&](const Peer& aPeer) {
     return m_active && aPeer.m_name == m_name;
   });
-  m_askedAt = aNow;
-  if (asked != aReaders.end()) {
-    return *asked;
+  m_lastRequestAt = aNow;
+  if (current != aReaders.end()) {
+    return *current;
   }
   m_active = false;
   for (std::size_t attempts = 0; attempts < aReaders.size(); ++attempts) {
--- a/src/ferrytray/peers/peer_exchange.cpp
+++ b/src/ferrytray/peers/peer_exchange.cpp
@@ -103,7 +103,7 @@
     ScheduleReadHosts(m_options.m_hostsReadRetry);
     return;
   }
-  bool listed = m_enrolled;
+  bool listed = m_registered;
   for (const store::Record& record : aResult->m_records) {
     if (const auto peer = DecodePeerRecord(record)) {
       m_roster->AddOrUpdate(*peer);
@@ -136,15 +136,15 @@
                       if (m_stopped) {
                         return;
                       }
-                      m_enrolled = aResult.has_value();
+                      m_registered = aResult.has_value();
                       if (!aResult) {
                         telemetry::LogLine("enrolled")
                           .Add("outcome", "failed")
                           .Add("why", aResult.error().m_message);
                         StartTopics();
                       }
-                      ScheduleReadHosts(m_enrolled ? m_options.m_firstHostsReadDelay
-                                                   : m_options.m_registrationRetry);
+                      ScheduleReadHosts(m_registered ? m_options.m_firstHostsReadDelay
+                                                     : m_options.m_registrationRetry);
                     });
 }
 
--- a/src/ferrytray/peers/peer_exchange_test.cpp
+++ b/src/ferrytray/peers/peer_exchange_test.cpp
@@ -60,20 +60,20 @@
   m_reader.reset();
   peers::PeerExchangeOptions options = NewsHost::OptionsOf("reader", 9, "z", 1);
   options.m_listen = net::ParseAddress(address).value();
-  peers::PeerExchange news(m_loop,
-                           *m_client,
-                           again.m_log,
-                           again.m_stores,
-                           again.m_others,
-                           again.m_reloads,
-                           again.m_crashes,
-                           options);
-  news.SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
-  CHECK(news.Start().has_value());
+  peers::PeerExchange rejoined(m_loop,
+                               *m_client,
+                               again.m_log,
+                               again.m_stores,
+                               again.m_others,
+                               again.m_reloads,
+                               again.m_crashes,
+                               options);
+  rejoined.SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
+  CHECK(rejoined.Start().has_value());
   CHECK(Until([&] { return again.m_log.m_reads > 0; }));
   m_loop.RunFor(50ms);
   LONGS_EQUAL(1, again.m_log.m_topics["hosts"].size());
-  news.Stop();
+  rejoined.Stop();
 }
 
 // Guards against a load on the log that grows faster than the number of hosts when hundreds of them
--- a/src/ferrytray/peers/peer_notices.cpp
+++ b/src/ferrytray/peers/peer_notices.cpp
@@ -17,11 +17,11 @@
 
 void PeerExchange::ApplyReloads(const ReloadNotices& aNotices, base::TimePoint aNow)
 {
-  std::size_t accepted = 0;
+  std::size_t taken = 0;
   for (const ReloadNotice& notice : aNotices) {
-    accepted += m_reloads.OnNotice(notice, aNow) ? 1 : 0;
+    taken += m_reloads.OnNotice(notice, aNow) ? 1 : 0;
   }
-  if (accepted > 0 && m_onReloads) {
+  if (taken > 0 && m_onReloads) {
     m_onReloads();
   }
 }
@@ -57,30 +57,30 @@
 
 void PeerExchange::AddCrashNotices(const Peer& aPeer, SyncRequest& aSyncRequest)
 {
-  const CrashSyncState& state = m_crashSync[aPeer.m_name];
-  aSyncRequest.m_crashes = m_crashes.Notices().Since(state.m_sentUpTo, kMaxCrashNotices);
-  aSyncRequest.m_crashesFrom = state.m_receivedUpTo;
+  const CrashSyncState& known = m_crashSync[aPeer.m_name];
+  aSyncRequest.m_crashes = m_crashes.Notices().Since(known.m_sentUpTo, kMaxCrashNotices);
+  aSyncRequest.m_crashesFrom = known.m_receivedUpTo;
 }
 
 void PeerExchange::OnCrashNoticesAcknowledged(const Peer& aPeer,
                                               const SyncReply& aReply,
                                               quarantine::NoticeNumber aUpTo)
 {
-  CrashSyncState& state = m_crashSync[aPeer.m_name];
-  const bool restarted = state.m_incarnation != 0 && state.m_incarnation != aReply.m_incarnation;
-  state.m_incarnation = aReply.m_incarnation;
+  CrashSyncState& known = m_crashSync[aPeer.m_name];
+  const bool restarted = known.m_incarnation != 0 && known.m_incarnation != aReply.m_incarnation;
+  known.m_incarnation = aReply.m_incarnation;
   // A restarted host has lost the notices that were sent to it before.
-  state.m_sentUpTo = restarted ? 0 : aUpTo;
-  state.m_receivedUpTo = aReply.m_crashesNext;
+  known.m_sentUpTo = restarted ? 0 : aUpTo;
+  known.m_receivedUpTo = aReply.m_crashesNext;
 }
 
 void PeerExchange::ApplyCrashes(const quarantine::CrashNotices& aNotices, base::TimePoint aNow)
 {
-  std::size_t accepted = 0;
+  std::size_t taken = 0;
   for (const quarantine::CrashNotice& notice : aNotices) {
-    accepted += m_crashes.OnNotice(notice, aNow) ? 1 : 0;
+    taken += m_crashes.OnNotice(notice, aNow) ? 1 : 0;
   }
-  if (accepted > 0 && m_onCrashes) {
+  if (taken > 0 && m_onCrashes) {
     m_onCrashes();
   }
 }
--- a/src/ferrytray/peers/reload_table_test.cpp
+++ b/src/ferrytray/peers/reload_table_test.cpp
@@ -92,7 +92,7 @@
 {
   constexpr std::size_t kHosts = 300;
   constexpr std::size_t kReaders = 6;
-  constexpr auto kAskEvery = 300ms;
+  constexpr auto kPollInterval = 300ms;
   constexpr std::int32_t kLoadMillis = 1100;
   std::vector<peers::ReloadTable> hosts(kHosts);
   for (peers::EndpointTag engine = 0; engine < 27; ++engine) {
@@ -107,17 +107,17 @@
   }
   base::Duration totalDelay{};
   for (std::size_t host = kReaders; host < kHosts; ++host) {
-    const base::TimePoint asks = m_now + kAskEvery * host / kHosts;
-    for (const auto& notice : hosts[host % kReaders].Notices(asks)) {
-      hosts[host].OnNotice(notice, asks);
+    const base::TimePoint polledAt = m_now + kPollInterval * host / kHosts;
+    for (const auto& notice : hosts[host % kReaders].Notices(polledAt)) {
+      hosts[host].OnNotice(notice, polledAt);
     }
-    totalDelay += asks - m_now;
+    totalDelay += polledAt - m_now;
   }
   // On average, hosts still send to a loading engine for at most a seventh of the reload.
   CHECK(totalDelay / kHosts <= std::chrono::milliseconds(kLoadMillis) / 7);
   for (const peers::ReloadTable& host : hosts) {
     for (peers::EndpointTag engine = 0; engine < 27; ++engine) {
-      CHECK(host.IsReloading(engine, m_now + kAskEvery));
+      CHECK(host.IsReloading(engine, m_now + kPollInterval));
       CHECK(host.IsReloading(engine, m_now + std::chrono::milliseconds(kLoadMillis - 2)));
       CHECK_FALSE(host.IsReloading(engine, m_now + std::chrono::milliseconds(kLoadMillis)));
     }
--- a/src/ferrytray/peers/roster_test.cpp
+++ b/src/ferrytray/peers/roster_test.cpp
@@ -46,7 +46,7 @@
 {
   for (const int zones : { 1, 3, 4 }) {
     std::size_t readers = 0;
-    std::set<std::string> asked;
+    std::set<std::string> sources;
     const std::vector<Roster> rosters = MakeRosters(90, zones);
     for (const Roster& roster : rosters) {
       const auto source = roster.Source(kNow);
@@ -55,11 +55,11 @@
         continue;
       }
       STRCMP_EQUAL(roster.Self().m_zone.c_str(), source->m_zone.c_str());
-      asked.insert(source->m_name);
+      sources.insert(source->m_name);
     }
     CHECK(readers <= 8);
     CHECK(readers >= static_cast<std::size_t>(zones));
-    CHECK(asked.size() <= readers);
+    CHECK(sources.size() <= readers);
   }
 }
 
