--- a/include/ferrytray/peers/peer_exchange.hpp
+++ b/include/ferrytray/peers/peer_exchange.hpp
@@ -27,11 +27,11 @@
 
 struct PeerExchangeOptions
 {
-  net::Address m_listen;        ///< address for requests of other hosts
-  std::string m_name;           ///< of this host; stays the same across restarts
+  net::Address m_listen;        ///< for other hosts
+  std::string m_name;           ///< of this host, the same over its restarts
   std::string m_zone;           ///< its availability zone
-  std::uint32_t m_capacity = 0; ///< of processor and link; only compared with that of other hosts
-  std::string m_topic;          ///< keyed topic of the hosts; each host's record is its Peer
+  std::uint32_t m_capacity = 0; ///< of its processor and link; only compared
+  std::string m_topic;          ///< keyed; each host's record is its Peer
   RosterOptions m_roster;
   /// Between two sync requests; adds up to this much to the age of received data
   /// (ContentsOptions::m_freshFor).
@@ -86,19 +86,19 @@
   void PushReloads();
   /// @brief Sends new notices of the crash board now instead of with the next poll.
   void PushCrashes();
-  /// @brief Sets the callback for crash notices of another host that were new to the crash board.
+  /// @brief Calls when another host sent crash notices that the crash board did not have.
   void OnCrashes(std::function<void()> aCall) { m_onCrashes = std::move(aCall); }
   /// @brief Reports that another endpoint answered at this incarnation's address; sent to other
   /// hosts with the next polls.
   void ReportReplaced(std::string_view aIncarnation);
-  /// @brief Sets the callback for each incarnation that another host found to be replaced.
+  /// @brief Calls with each incarnation that another host found to be replaced.
   void OnReplaced(std::function<void(IncarnationKey)> aCall) { m_onReplaced = std::move(aCall); }
-  /// @brief Sets the callback for when this host starts or stops to read from the stores directly.
+  /// @brief Calls when this host starts or stops to read from the stores itself.
   void OnReaderChange(std::function<void(bool aIsReader)> aCall)
   {
     m_onReaderChange = std::move(aCall);
   }
-  /// @brief Sets the callback for reload notices of another host that were new.
+  /// @brief Calls when another host sent reload notices that were new.
   void OnReloads(std::function<void()> aCall) { m_onReloads = std::move(aCall); }
   /// @brief Relays this topic to other hosts and takes it from them; starts to read it from the log
   /// if no other host relays it. Call before Start().
@@ -106,7 +106,7 @@
   {
     m_topics.push_back(std::move(aTopic));
   }
-  /// @brief Sets the handler of placement requests from other hosts.
+  /// @brief Answers placement requests of other hosts.
   void OnPlacement(std::function<PlacementReply(const PlacementRequest&)> aCall)
   {
     m_onPlacement = std::move(aCall);
@@ -131,10 +131,10 @@
   /// there are only a few hosts.
   [[nodiscard]] bool IsReader() const { return m_isReader; }
   [[nodiscard]] const std::string& Name() const { return m_options.m_name; }
-  /// @brief Whether aPeer is this host.
+  /// @brief Whether that is this host.
   [[nodiscard]] bool IsSelf(const Peer& aPeer) const { return aPeer == m_roster->Self(); }
-  /// @brief Asks a host to choose the engine for a prompt.
-  /// @param aDone called once; empty if no reply came in time
+  /// @brief Asks a host which engine a prompt is to go to.
+  /// @param aDone called once; empty if there was no answer in time
   void RequestPlacement(const Peer& aPeer,
                         const PlacementRequest& aRequest,
                         std::function<void(std::optional<PlacementReply>)> aDone);
@@ -169,7 +169,7 @@
   void PollSource(const Peer& aSource, base::TimePoint aNow);
   void HandlePlacementRequest(const net::HttpRequest& aRequest,
                               const std::shared_ptr<net::HttpReply>& aReply) const;
-  /// Exchanges loads and notices with another reader.
+  /// Exchanges loads with another reader.
   void PollReader(const Peer& aReader, base::TimePoint aNow);
   /// Requests only the records of the log, while this host cannot reach the log.
   void PollFallback(base::TimePoint aNow);
@@ -214,7 +214,7 @@
   store::UnreadableRecords m_unreadable;
   PeerExchangeOptions m_options;
   std::uint64_t m_incarnation;
-  std::optional<Roster> m_roster; ///< set once the own address is known
+  std::optional<Roster> m_roster; ///< once the own address is known
   std::unique_ptr<net::HttpServer> m_server;
   std::vector<std::shared_ptr<store::TopicFollower>> m_topics;
   std::function<void(bool)> m_onReaderChange;
@@ -224,7 +224,7 @@
   std::function<PlacementReply(const PlacementRequest&)> m_onPlacement;
   std::function<EndpointLoads()> m_ownLoads;
   std::string m_source;                  ///< name of the reader that is followed
-  std::uint64_t m_sourceIncarnation = 0; ///< as of which the cursors are valid
+  std::uint64_t m_sourceIncarnation = 0; ///< to which the cursors belong
   std::optional<base::TimePoint> m_lastPolledAt;
   std::optional<base::TimePoint> m_lastContactAt; ///< last reply or request of another host
   FallbackReader m_fallback;
--- a/include/ferrytray/peers/replacement_table.hpp
+++ b/include/ferrytray/peers/replacement_table.hpp
@@ -16,11 +16,11 @@
 
 IncarnationKey KeyOf(std::string_view aIncarnation);
 
-/// @brief Announces that another endpoint answered at an incarnation's address.
+/// @brief Another endpoint answered at an incarnation's address.
 struct ReplacementNotice
 {
   IncarnationKey m_incarnation = 0;
-  std::int32_t m_ageMillis = 0; ///< since a host detected it; hosts have no common clock
+  std::int32_t m_ageMillis = 0; ///< since a host found it; hosts have no common clock
 };
 
 using ReplacementNotices = std::vector<ReplacementNotice>;
