--- a/include/ferrytray/peers/messages.hpp
+++ b/include/ferrytray/peers/messages.hpp
@@ -13,7 +13,7 @@
 #include "ferrytray/peers/roster.hpp"            // for Peer
 #include "ferrytray/quarantine/crash_board.hpp"  // for CrashNotices, Suspicion
 #include "ferrytray/quarantine/notice_log.hpp"   // for NoticeNumber
-#include "ferrytray/store/topic_news.hpp"        // for TopicCursor, TopicNews
+#include "ferrytray/store/topic_update.hpp"      // for TopicCursor, TopicUpdate
 
 namespace ferrytray::peers {
 
@@ -39,7 +39,7 @@
 struct SyncReply
 {
   std::uint64_t m_incarnation = 0; ///< of the replying host
-  std::vector<store::TopicNews> m_topics;
+  std::vector<store::TopicUpdate> m_topics;
   std::vector<cache::ContentsDigest> m_stores;
   /// For a request of scope Own: the loads of all other hosts. For scope Summary: those of this
   /// host and of the hosts that report to it.
--- a/include/ferrytray/peers/peer_exchange.hpp
+++ b/include/ferrytray/peers/peer_exchange.hpp
@@ -192,14 +192,14 @@
   void OnCrashNoticesAcknowledged(const Peer& aPeer,
                                   const SyncReply& aReply,
                                   quarantine::NoticeNumber aUpTo);
-  [[nodiscard]] std::vector<store::TopicNews> CollectTopicUpdates(
+  [[nodiscard]] std::vector<store::TopicUpdate> CollectTopicUpdates(
     const std::vector<store::TopicCursor>& aCursors,
-    store::PassOn aMost,
+    store::RelayLimit aLimit,
     base::TimePoint aNow) const;
-  void ApplyTopicUpdates(const std::vector<store::TopicNews>& aNews,
+  void ApplyTopicUpdates(const std::vector<store::TopicUpdate>& aUpdates,
                          base::TimePoint aAskedAt) const;
   /// Returns the topic that the update belongs to if it can use the update, else null.
-  [[nodiscard]] store::TopicFollower* FindUsableTopic(const store::TopicNews& aNews,
+  [[nodiscard]] store::TopicFollower* FindUsableTopic(const store::TopicUpdate& aUpdate,
                                                       base::TimePoint aAskedAt) const;
   /// Ends the relaying of all topics: this host reads them from the log.
   void EndTopicUpdates() const;
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -30,7 +30,7 @@
   /// @brief This host saw an end of the request, or a whole answer to it.
   void OnOwn(const quarantine::RequestKey& aRequest);
   /// @brief This host hears of no other one: the record log is asked at once.
-  void OnAlone() { m_topic->Renew(); }
+  void OnAlone() { m_topic->RestartRead(); }
   /// @brief The crash board has changed.
   void OnChange();
   /// @brief Records that the request is sent once more though it is kept away.
--- a/include/ferrytray/store/metered_log.hpp
+++ b/include/ferrytray/store/metered_log.hpp
@@ -24,7 +24,7 @@
   void Read(const std::string& aTopic,
             Offset aFrom,
             base::Duration aWait,
-            base::Duration aPatience,
+            base::Duration aReplyTimeout,
             Done<Batch> aDone) override;
   void Append(const std::string& aTopic,
               std::string_view aRecord,
--- a/include/ferrytray/store/record_log.hpp
+++ b/include/ferrytray/store/record_log.hpp
@@ -29,7 +29,7 @@
 {
   Offset m_end = 0; ///< the offset that the next record will get
   std::vector<Record> m_records;
-  bool m_historyGone = false; ///< what was asked for is no longer kept
+  bool m_truncated = false; ///< what was asked for is no longer kept
 };
 
 /// @brief The newest record of each key.
@@ -42,7 +42,7 @@
 /// @brief How a conditional append ended.
 struct AppendResult
 {
-  bool m_taken = false;
+  bool m_appended = false;
   Offset m_offset = 0; ///< of the record, if it was taken
   Offset m_end = 0;    ///< the topic's end, if the condition did not hold
 };
@@ -59,11 +59,11 @@
   virtual void ReadSnapshot(const std::string& aTopic, Done<Snapshot> aDone) = 0;
   /// @brief Reads from an offset on.
   /// @param aWait how long the log may wait for the first record; zero: answers at once
-  /// @param aPatience how long beyond that an answer is waited for
+  /// @param aReplyTimeout how long beyond that an answer is waited for
   virtual void Read(const std::string& aTopic,
                     Offset aFrom,
                     base::Duration aWait,
-                    base::Duration aPatience,
+                    base::Duration aReplyTimeout,
                     Done<Batch> aDone) = 0;
   /// @brief Appends one record if the topic ends at that offset.
   /// A failure means that it may have been taken, or may be taken seconds later.
--- a/include/ferrytray/store/record_tail.hpp
+++ b/include/ferrytray/store/record_tail.hpp
@@ -12,24 +12,24 @@
 namespace ferrytray::store {
 
 /// @brief How much is passed on to another host at once.
-enum class PassOn : std::uint8_t
+enum class RelayLimit : std::uint8_t
 {
-  Light, ///< it can read large records from the log itself
-  All,   ///< it has lost the log
+  Bounded,   ///< it can read large records from the log itself
+  Unbounded, ///< it has lost the log
 };
 
-struct TailOptions
+struct RecordTailOptions
 {
-  std::size_t m_records = 512; ///< kept; a busy topic gets some tens a second
+  std::size_t m_maxRecords = 512; ///< kept; a busy topic gets some tens a second
   /// More than this is not passed on at once: hosts with thin links would be busy with it (bytes).
-  std::size_t m_passedOnBytes = 32U << 10U;
+  std::size_t m_maxRelayBytes = 32U << 10U;
 };
 
 /// @brief The newest records of a topic, for hosts that follow it through this one. Pure.
 class RecordTail
 {
 public:
-  explicit RecordTail(TailOptions aOptions = {})
+  explicit RecordTail(RecordTailOptions aOptions = {})
     : m_options(aOptions)
   {
   }
@@ -47,7 +47,7 @@
   {
     m_records.push_back(aRecord);
     m_end = aRecord.m_offset + 1;
-    if (m_records.size() > m_options.m_records) {
+    if (m_records.size() > m_options.m_maxRecords) {
       m_begin = m_records.front().m_offset + 1;
       m_records.pop_front();
     }
@@ -58,12 +58,13 @@
 
   /// @brief The records from an offset on that tell something; nothing if they are no longer kept
   /// or too large.
-  [[nodiscard]] std::optional<std::vector<Record>> Since(Offset aFrom,
-                                                         PassOn aMost = PassOn::Light) const;
+  [[nodiscard]] std::optional<std::vector<Record>> Since(
+    Offset aFrom,
+    RelayLimit aLimit = RelayLimit::Bounded) const;
   [[nodiscard]] Offset End() const { return m_end; }
 
 private:
-  TailOptions m_options;
+  RecordTailOptions m_options;
   Offset m_begin = 0; ///< from here on nothing that tells something is missing
   Offset m_end = 0;
   std::deque<Record> m_records;
--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -41,7 +41,7 @@
 template<typename Archive>
 void serialize(Archive& aArchive, TopicCursor& aCursor)
 {
-  aArchive(aCursor.m_topic, aCursor.m_next, aCursor.m_nothing);
+  aArchive(aCursor.m_topic, aCursor.m_next, aCursor.m_unread);
 }
 
 template<typename Archive>
@@ -51,10 +51,11 @@
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, TopicNews& aNews)
+void serialize(Archive& aArchive, TopicUpdate& aUpdate)
 {
-  aArchive(aNews.m_topic, aNews.m_from, aNews.m_end, aNews.m_records, aNews.m_readYourself);
-  aArchive(aNews.m_age, aNews.m_outages, aNews.m_whole);
+  aArchive(
+    aUpdate.m_topic, aUpdate.m_from, aUpdate.m_end, aUpdate.m_records, aUpdate.m_unavailable);
+  aArchive(aUpdate.m_age, aUpdate.m_outages, aUpdate.m_isSnapshot);
 }
 
 } // namespace ferrytray::store
--- a/src/ferrytray/peers/messages_test.cpp
+++ b/src/ferrytray/peers/messages_test.cpp
@@ -53,11 +53,11 @@
   const peers::ReloadNotice& notice = readReply->m_reloads.at(0);
   CHECK(notice.m_endpoint == 4 && notice.m_version == 3 && notice.m_endsInMillis == 900);
   CHECK(notice.m_model == "m" && notice.m_revision == 17);
-  const store::TopicNews& news = readReply->m_topics.at(0);
-  CHECK(news.m_from == 8 && news.m_end == 9 && news.m_age == 3ms && news.m_outages == 2 &&
-        !news.m_readYourself);
-  STRCMP_EQUAL("value", news.m_records.at(0).m_value.c_str());
-  CHECK(news.m_whole);
+  const store::TopicUpdate& update = readReply->m_topics.at(0);
+  CHECK(update.m_from == 8 && update.m_end == 9 && update.m_age == 3ms && update.m_outages == 2 &&
+        !update.m_unavailable);
+  STRCMP_EQUAL("value", update.m_records.at(0).m_value.c_str());
+  CHECK(update.m_isSnapshot);
   LONGS_EQUAL(3, readReply->m_readers.at(0).m_capacity);
 }
 
--- a/src/ferrytray/peers/peer_exchange.cpp
+++ b/src/ferrytray/peers/peer_exchange.cpp
@@ -353,8 +353,10 @@
   reply.m_incarnation = m_incarnation;
   reply.m_reloads = m_reloads.Notices(now);
   reply.m_replaced = m_replaced.Notices(now);
-  reply.m_topics = CollectTopicUpdates(
-    syncRequest->m_topics, syncRequest->m_logLost ? store::PassOn::All : store::PassOn::Light, now);
+  reply.m_topics = CollectTopicUpdates(syncRequest->m_topics,
+                                       syncRequest->m_logLost ? store::RelayLimit::Unbounded
+                                                              : store::RelayLimit::Bounded,
+                                       now);
   reply.m_loads = m_ownLoads();
   if (syncRequest->m_scope == LoadScope::Own) {
     m_lastPolledAt = now;
--- a/src/ferrytray/peers/peer_topics.cpp
+++ b/src/ferrytray/peers/peer_topics.cpp
@@ -12,7 +12,7 @@
 void PeerExchange::PollFallback(base::TimePoint aNow)
 {
   const bool logLost = std::any_of(
-    m_topics.begin(), m_topics.end(), [](const auto& aTopic) { return aTopic->IsAway(); });
+    m_topics.begin(), m_topics.end(), [](const auto& aTopic) { return aTopic->IsUnreachable(); });
   const std::string& source = m_isReader ? std::string() : m_source;
   const auto reader = m_fallback.Pick(m_roster->OtherReaders(aNow), source, logLost, aNow);
   if (!reader) {
@@ -34,13 +34,13 @@
 {
   const bool wasActive = m_fallback.IsActive();
   bool usable = false;
-  for (const store::TopicNews& news : aReply.m_topics) {
-    if (store::TopicFollower* topic = FindUsableTopic(news, aAskedAt)) {
+  for (const store::TopicUpdate& update : aReply.m_topics) {
+    if (store::TopicFollower* topic = FindUsableTopic(update, aAskedAt)) {
       // Topics that this host reads from the log need no fallback.
-      const bool wanted = topic->IsAway() || topic->IsByNews();
+      const bool wanted = topic->IsUnreachable() || topic->IsRelayed();
       usable = usable || wanted;
       if (wanted) {
-        topic->OnNews(news, aAskedAt);
+        topic->OnUpdate(update, aAskedAt);
       }
     }
   }
@@ -63,45 +63,45 @@
   return cursors;
 }
 
-store::TopicFollower* PeerExchange::FindUsableTopic(const store::TopicNews& aNews,
+store::TopicFollower* PeerExchange::FindUsableTopic(const store::TopicUpdate& aUpdate,
                                                     base::TimePoint aAskedAt) const
 {
   const auto found = std::find_if(m_topics.begin(), m_topics.end(), [&](const auto& aTopic) {
-    return aTopic->Topic() == aNews.m_topic;
+    return aTopic->Topic() == aUpdate.m_topic;
   });
   const bool usable =
-    found != m_topics.end() && (*found)->IsUsable(aNews, aAskedAt, base::MonotonicNow());
+    found != m_topics.end() && (*found)->IsUsable(aUpdate, aAskedAt, base::MonotonicNow());
   return usable ? found->get() : nullptr;
 }
 
-std::vector<store::TopicNews> PeerExchange::CollectTopicUpdates(
+std::vector<store::TopicUpdate> PeerExchange::CollectTopicUpdates(
   const std::vector<store::TopicCursor>& aCursors,
-  store::PassOn aMost,
+  store::RelayLimit aLimit,
   base::TimePoint aNow) const
 {
-  std::vector<store::TopicNews> all;
+  std::vector<store::TopicUpdate> all;
   for (const store::TopicCursor& cursor : aCursors) {
     for (const auto& topic : m_topics) {
       if (topic->Topic() != cursor.m_topic) {
         continue;
       }
-      if (auto news = topic->NewsSince(cursor, aNow, aMost)) {
-        all.push_back(std::move(*news));
+      if (auto update = topic->UpdateSince(cursor, aNow, aLimit)) {
+        all.push_back(std::move(*update));
       }
     }
   }
   return all;
 }
 
-void PeerExchange::ApplyTopicUpdates(const std::vector<store::TopicNews>& aNews,
+void PeerExchange::ApplyTopicUpdates(const std::vector<store::TopicUpdate>& aUpdates,
                                      base::TimePoint aAskedAt) const
 {
-  for (const store::TopicNews& news : aNews) {
+  for (const store::TopicUpdate& update : aUpdates) {
     for (const auto& topic : m_topics) {
       // An unusable update from the followed reader must not end what a fallback reader relays.
-      const bool accepted = !m_fallback.IsActive() || FindUsableTopic(news, aAskedAt) != nullptr;
-      if (topic->Topic() == news.m_topic && accepted) {
-        topic->OnNews(news, aAskedAt);
+      const bool accepted = !m_fallback.IsActive() || FindUsableTopic(update, aAskedAt) != nullptr;
+      if (topic->Topic() == update.m_topic && accepted) {
+        topic->OnUpdate(update, aAskedAt);
       }
     }
   }
@@ -110,7 +110,7 @@
 void PeerExchange::EndTopicUpdates() const
 {
   for (const auto& topic : m_topics) {
-    topic->OnNewsEnded();
+    topic->OnRelayEnded();
   }
 }
 
--- a/src/ferrytray/peers/peer_topics_test.cpp
+++ b/src/ferrytray/peers/peer_topics_test.cpp
@@ -73,7 +73,7 @@
   m_loop.RunFor(300ms);
   const base::TimePoint now = base::MonotonicNow();
   store::TopicCursor cursor{ "quiet", 1, false };
-  CHECK(quiet->NewsSince(cursor, now)->m_age >= 300ms);
+  CHECK(quiet->UpdateSince(cursor, now)->m_age >= 300ms);
   peers::SyncRequest syncRequest;
   syncRequest.m_topics = { { "t", 1, false }, cursor };
   const peers::SyncReply reply = AskReader(syncRequest);
@@ -106,7 +106,7 @@
     store::FollowOptions options;
     options.m_topic = "t";
     options.m_pause = 5ms;
-    options.m_newsFresh = 20s;
+    options.m_maxUpdateAge = 20s;
     store::FollowEvents events;
     events.m_onRecord = [&keys, i](const store::Record& aRecord) {
       keys[i] += aRecord.m_key;
@@ -120,7 +120,7 @@
   CHECK(Until([&] { return hosts[0]->m_direct && hosts[2]->m_direct && !hosts[1]->m_direct; }));
   hosts[0]->m_log.m_down = true;
   hosts[1]->m_log.m_down = true;
-  CHECK(Until([&] { return topics[0]->IsAway(); }));
+  CHECK(Until([&] { return topics[0]->IsUnreachable(); }));
   hosts[2]->m_log.AppendKeyed("t", "k", "v", [](const auto&) {});
   CHECK(Until([&] { return keys[0] == "k" && keys[1] == "k"; }));
   for (std::size_t i = 0; i < hosts.size(); ++i) {
--- a/src/ferrytray/relay/feed_options_test.cpp
+++ b/src/ferrytray/relay/feed_options_test.cpp
@@ -30,7 +30,7 @@
 TEST_GROUP(FeedOptions)
 {
   const std::vector<base::Duration> m_dues{ 1s, 2s, 3s, 4s, 8s };
-  const base::Duration m_retry = store::FollowOptions{}.m_retryFirst;
+  const base::Duration m_retry = store::FollowOptions{}.m_retryMin;
   const base::Duration m_pollInterval = peers::PeerExchangeOptions{}.m_pollInterval;
 };
 
--- a/src/ferrytray/relay/quarantine_feed.cpp
+++ b/src/ferrytray/relay/quarantine_feed.cpp
@@ -33,24 +33,24 @@
   store::FollowOptions follow;
   follow.m_topic = m_topicName;
   follow.m_wait = aOptions.m_quarantineWait;
-  follow.m_waryWait = aOptions.m_quarantineWait;
+  follow.m_shortWait = aOptions.m_quarantineWait;
   follow.m_pause = {};
-  follow.m_patience = aOptions.m_quarantinePatience;
-  follow.m_newsFresh = aOptions.m_quarantineNewsFresh;
+  follow.m_replyTimeout = aOptions.m_quarantinePatience;
+  follow.m_maxUpdateAge = aOptions.m_quarantineNewsFresh;
   store::FollowEvents events;
   events.m_onRecord = [this](const store::Record& aRecord) {
     OnRecord(aRecord);
     return true;
   };
   events.m_onSnapshot = [this](const std::set<std::string>& aKeys) { OnSnapshot(aKeys); };
-  events.m_onAway = [this](const base::Failure& aFailure) {
+  events.m_onUnreachable = [this](const base::Failure& aFailure) {
     telemetry::LogLine("dependency_lost")
       .Add("dependency", "record_log")
       .Add("topic", m_topicName)
       .Add("why", aFailure.m_message);
   };
-  events.m_onContact = [this](bool aWasAway, base::TimePoint) {
-    if (aWasAway) {
+  events.m_onContact = [this](bool aRecovered, base::TimePoint) {
+    if (aRecovered) {
       telemetry::LogLine("dependency_back")
         .Add("dependency", "record_log")
         .Add("topic", m_topicName);
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -26,8 +26,8 @@
   operators.m_topic = aFormat.OperatorTopic();
   operators.m_wait = aOptions.m_operatorWait;
   operators.m_pause = {};
-  operators.m_patience = aOptions.m_operatorPatience;
-  operators.m_newsFresh = aOptions.m_operatorNewsFresh;
+  operators.m_replyTimeout = aOptions.m_operatorPatience;
+  operators.m_maxUpdateAge = aOptions.m_operatorNewsFresh;
   store::FollowEvents onOperators = EventsFor(operators.m_topic);
   onOperators.m_onRecord = [this](const store::Record& aRecord) {
     OnOperatorRecord(aRecord);
@@ -43,7 +43,7 @@
   endpoints.m_topic = aFormat.EndpointTopic();
   endpoints.m_pause = aOptions.m_endpointPause;
   endpoints.m_servingPause = aOptions.m_endpointServingPause;
-  endpoints.m_newsFresh = aOptions.m_endpointNewsFresh;
+  endpoints.m_maxUpdateAge = aOptions.m_endpointNewsFresh;
   store::FollowEvents onEndpoints = EventsFor(endpoints.m_topic);
   onEndpoints.m_onRecord = [this](const store::Record& aRecord) {
     return OnEndpointRecord(aRecord);
@@ -66,32 +66,32 @@
 {
   store::FollowEvents events;
   const bool isDirectory = aTopic == m_format.EndpointTopic();
-  events.m_onContact = [this, aTopic, isDirectory](bool aWasAway, base::TimePoint aAt) {
+  events.m_onContact = [this, aTopic, isDirectory](bool aRecovered, base::TimePoint aAt) {
     const base::TimePoint now = base::MonotonicNow();
     m_core.m_lastContact = std::max(m_core.m_lastContact.value_or(aAt), aAt);
     if (!isDirectory) {
       m_core.m_operatorsHeardAt = aAt;
     }
-    if (!aWasAway) {
+    if (!aRecovered) {
       return;
     }
     if (isDirectory) {
       m_core.m_directory.OnSourceBack(now);
-      m_operators->Renew();
+      m_operators->RestartRead();
     }
     telemetry::LogLine("dependency_back").Add("dependency", "record_log").Add("topic", aTopic);
   };
   if (isDirectory) {
-    events.m_onSlow = [this](base::Duration) { m_operators->Renew(); };
+    events.m_onSlow = [this](base::Duration) { m_operators->RestartRead(); };
   }
-  events.m_onUnanswered = [aTopic](base::Duration aOpen) {
+  events.m_onHeldReadFailed = [aTopic](base::Duration aOpen) {
     telemetry::LogLine("held_read_unanswered")
       .Add("topic", aTopic)
       .Add("read_open_ms", base::ToMillis(aOpen));
   };
-  events.m_onAway = [this, aTopic, isDirectory](const base::Failure& aFailure) {
+  events.m_onUnreachable = [this, aTopic, isDirectory](const base::Failure& aFailure) {
     if (isDirectory) {
-      m_operators->Renew();
+      m_operators->RestartRead();
     }
     telemetry::LogLine("dependency_lost")
       .Add("dependency", "record_log")
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -90,12 +90,12 @@
   {
     for (const auto& topic : m_feeds->Topics()) {
       if (topic->Topic() == aTopic) {
-        store::TopicNews news;
+        store::TopicUpdate news;
         news.m_topic = aTopic;
         news.m_from = aRecords.front().m_offset;
         news.m_end = aRecords.back().m_offset + 1;
         news.m_records = std::move(aRecords);
-        topic->OnNews(news, base::MonotonicNow());
+        topic->OnUpdate(news, base::MonotonicNow());
       }
     }
   }
@@ -167,7 +167,7 @@
   Read();
   const auto passedOn = [&] {
     const auto topic = m_feeds->Topics()[1];
-    return topic->NewsSince({ "endpoints", 1, false }, base::MonotonicNow())->m_records.size();
+    return topic->UpdateSince({ "endpoints", 1, false }, base::MonotonicNow())->m_records.size();
   };
   Hear("endpoints", { { 1, "e", "1 z1", false }, { 2, "e", "1 z1", false } });
   LONGS_EQUAL(0, passedOn());
--- a/src/ferrytray/rollout/rollout_driver.cpp
+++ b/src/ferrytray/rollout/rollout_driver.cpp
@@ -162,7 +162,7 @@
                }
                const bool any = !aBatch->m_records.empty();
                // A record that is no longer kept may be anybody's.
-               const std::string lost = aBatch->m_historyGone ? "unknown" : m_lease.Holder();
+               const std::string lost = aBatch->m_truncated ? "unknown" : m_lease.Holder();
                const std::string holder = any ? aBatch->m_records.back().m_value : lost;
                m_lease.OnRead(aBatch->m_end, holder, base::MonotonicNow());
              });
@@ -176,13 +176,13 @@
                m_options.m_self,
                m_lease.End(),
                [this, held](base::Result<store::AppendResult> aResult) {
-                 if (aResult && aResult->m_taken) {
+                 if (aResult && aResult->m_appended) {
                    m_lease.OnAppendTaken(aResult->m_offset, base::MonotonicNow());
                    m_wasHolder = true;
                  } else {
                    m_lease.OnAppendUnsure();
                  }
-                 const bool taken = aResult && aResult->m_taken;
+                 const bool taken = aResult && aResult->m_appended;
                  if (!held || !taken) {
                    telemetry::LogLine("order_lease")
                      .Add("outcome", taken ? "taken" : (aResult ? "lost_race" : "unsure"))
--- a/src/ferrytray/store/metered_log.cpp
+++ b/src/ferrytray/store/metered_log.cpp
@@ -21,11 +21,11 @@
 void MeteredLog::Read(const std::string& aTopic,
                       Offset aFrom,
                       base::Duration aWait,
-                      base::Duration aPatience,
+                      base::Duration aReplyTimeout,
                       Done<Batch> aDone)
 {
   Count(aWait.count() > 0 ? "read_held" : "read", aTopic);
-  m_log.Read(aTopic, aFrom, aWait, aPatience, std::move(aDone));
+  m_log.Read(aTopic, aFrom, aWait, aReplyTimeout, std::move(aDone));
 }
 
 void MeteredLog::Append(const std::string& aTopic,
--- a/src/ferrytray/store/record_tail.cpp
+++ b/src/ferrytray/store/record_tail.cpp
@@ -2,7 +2,7 @@
 
 namespace ferrytray::store {
 
-std::optional<std::vector<Record>> RecordTail::Since(Offset aFrom, PassOn aMost) const
+std::optional<std::vector<Record>> RecordTail::Since(Offset aFrom, RelayLimit aLimit) const
 {
   std::vector<Record> records;
   if (aFrom >= m_end) {
@@ -17,7 +17,7 @@
       continue;
     }
     bytes += record.m_key.size() + record.m_value.size();
-    if (aMost == PassOn::Light && bytes > m_options.m_passedOnBytes) {
+    if (aLimit == RelayLimit::Bounded && bytes > m_options.m_maxRelayBytes) {
       return std::nullopt;
     }
     records.push_back(record);
--- a/src/ferrytray/store/topic_follower.cpp
+++ b/src/ferrytray/store/topic_follower.cpp
@@ -14,14 +14,14 @@
   , m_log(aLog)
   , m_options(std::move(aOptions))
   , m_events(std::move(aEvents))
-  , m_patienceNow(m_options.m_patience)
-  , m_retry(m_options.m_retryFirst)
+  , m_currentReplyTimeout(m_options.m_replyTimeout)
+  , m_retryDelay(m_options.m_retryMin)
 {
 }
 
 void TopicFollower::Start()
 {
-  if (!m_loaded && !m_loading && !m_away && !m_stopped) {
+  if (!m_loaded && !m_loading && !m_unreachable && !m_stopped) {
     LoadSnapshot();
   }
 }
@@ -34,7 +34,7 @@
 
 void TopicFollower::LoadSnapshot()
 {
-  m_readAt = base::MonotonicNow();
+  m_readStartedAt = base::MonotonicNow();
   m_loading = true;
   m_log.ReadSnapshot(m_options.m_topic,
                      [self = shared_from_this()](base::Result<Snapshot> aResult) {
@@ -45,31 +45,32 @@
 void TopicFollower::OnSnapshot(base::Result<Snapshot> aResult)
 {
   m_loading = false;
-  if (m_stopped || (m_loaded && m_byNews)) {
+  if (m_stopped || (m_loaded && m_relayed)) {
     return;
   }
   if (!aResult) {
-    Away(aResult.error());
+    OnUnreachable(aResult.error());
     return;
   }
-  Contact(m_readAt, std::exchange(m_away, false));
-  TellWhole(aResult->m_records, aResult->m_end);
-  m_waryUntil = base::MonotonicNow() + m_options.m_waryFor;
-  Later(m_options.m_wait.count() > 0 ? base::Duration::zero() : PauseNow(), &TopicFollower::ReadOn);
+  OnContact(m_readStartedAt, std::exchange(m_unreachable, false));
+  DeliverSnapshot(aResult->m_records, aResult->m_end);
+  m_shortWaitUntil = base::MonotonicNow() + m_options.m_shortWaitPeriod;
+  Schedule(m_options.m_wait.count() > 0 ? base::Duration::zero() : CurrentPause(),
+           &TopicFollower::ReadNext);
 }
 
-base::Duration TopicFollower::WaitNow() const
+base::Duration TopicFollower::CurrentWait() const
 {
-  const bool wary = m_waryUntil && base::MonotonicNow() < *m_waryUntil;
-  return wary ? std::min(m_options.m_waryWait, m_options.m_wait) : m_options.m_wait;
+  const bool useShortWait = m_shortWaitUntil && base::MonotonicNow() < *m_shortWaitUntil;
+  return useShortWait ? std::min(m_options.m_shortWait, m_options.m_wait) : m_options.m_wait;
 }
 
-void TopicFollower::ReadOn()
+void TopicFollower::ReadNext()
 {
-  Read(WaitNow());
+  Read(CurrentWait());
 }
 
-void TopicFollower::ReadAtOnce()
+void TopicFollower::ReadImmediately()
 {
   Read(base::Duration::zero());
 }
@@ -78,21 +79,21 @@
 {
   m_reading = true;
   m_readWait = aWait;
-  m_readAt = base::MonotonicNow();
+  m_readStartedAt = base::MonotonicNow();
   m_log.Read(m_options.m_topic,
              m_next,
              aWait,
-             m_patienceNow,
-             [self = shared_from_this(), read = ++m_read](base::Result<Batch> aResult) {
+             m_currentReplyTimeout,
+             [self = shared_from_this(), read = ++m_readNumber](base::Result<Batch> aResult) {
                self->OnBatch(read, std::move(aResult));
              });
 }
 
-void TopicFollower::Renew()
+void TopicFollower::RestartRead()
 {
-  m_waryUntil = base::MonotonicNow() + m_options.m_waryFor;
+  m_shortWaitUntil = base::MonotonicNow() + m_options.m_shortWaitPeriod;
   if (m_reading && !m_stopped) {
-    ReadAtOnce();
+    ReadImmediately();
   }
 }
 
@@ -102,19 +103,19 @@
     // A log may leave a read that it holds open unanswered and still answer others. So this says
     // nothing of the log, and what it has is asked for at once: were the next read held open, too,
     // two in a row would cost over the bound.
-    if (m_events.m_onUnanswered) {
-      m_events.m_onUnanswered(base::MonotonicNow() - m_readAt);
+    if (m_events.m_onHeldReadFailed) {
+      m_events.m_onHeldReadFailed(base::MonotonicNow() - m_readStartedAt);
     }
-    ReadAtOnce();
+    ReadImmediately();
     return;
   }
-  m_patienceNow = std::min(m_patienceNow * 2, m_options.m_patienceMost);
-  Away(aFailure);
+  m_currentReplyTimeout = std::min(m_currentReplyTimeout * 2, m_options.m_maxReplyTimeout);
+  OnUnreachable(aFailure);
 }
 
 void TopicFollower::OnBatch(std::uint64_t aRead, base::Result<Batch> aResult)
 {
-  if (m_stopped || aRead != m_read) {
+  if (m_stopped || aRead != m_readNumber) {
     return;
   }
   m_reading = false;
@@ -122,25 +123,25 @@
     OnFailure(aResult.error());
     return;
   }
-  if (aResult->m_historyGone) {
+  if (aResult->m_truncated) {
     m_loaded = false;
     LoadSnapshot();
     return;
   }
-  Contact(m_readAt, std::exchange(m_away, false));
-  const base::Duration took = base::MonotonicNow() - m_readAt;
-  if (m_options.m_wait.count() == 0 && took > m_options.m_slowAfter && m_events.m_onSlow) {
+  OnContact(m_readStartedAt, std::exchange(m_unreachable, false));
+  const base::Duration took = base::MonotonicNow() - m_readStartedAt;
+  if (m_options.m_wait.count() == 0 && took > m_options.m_slowThreshold && m_events.m_onSlow) {
     m_events.m_onSlow(took);
   }
   for (const Record& record : aResult->m_records) {
-    Take(record);
+    Apply(record);
   }
-  Later(PauseNow(), &TopicFollower::ReadOn);
+  Schedule(CurrentPause(), &TopicFollower::ReadNext);
 }
 
-void TopicFollower::Take(const Record& aRecord)
+void TopicFollower::Apply(const Record& aRecord)
 {
-  if (Tell(aRecord)) {
+  if (Deliver(aRecord)) {
     m_tail.Add(aRecord);
   } else {
     m_tail.SkipTo(aRecord.m_offset + 1);
@@ -148,49 +149,50 @@
   m_next = aRecord.m_offset + 1;
 }
 
-bool TopicFollower::Tell(const Record& aRecord)
+bool TopicFollower::Deliver(const Record& aRecord)
 {
-  const auto [found, isNew] = m_newest.try_emplace(aRecord.m_key, aRecord);
-  if (!isNew && found->second.m_offset >= aRecord.m_offset) {
+  const auto [entry, isNew] = m_newestByKey.try_emplace(aRecord.m_key, aRecord);
+  if (!isNew && entry->second.m_offset >= aRecord.m_offset) {
     return false;
   }
-  found->second = aRecord;
+  entry->second = aRecord;
   return m_events.m_onRecord(aRecord);
 }
 
-void TopicFollower::TellWhole(const std::vector<Record>& aRecords, Offset aEnd)
+void TopicFollower::DeliverSnapshot(const std::vector<Record>& aRecords, Offset aEnd)
 {
   std::set<std::string> keys;
   for (const Record& record : aRecords) {
     keys.insert(record.m_key);
-    Tell(record);
+    Deliver(record);
   }
   m_next = aEnd;
   m_tail.Restart(m_next);
   m_loaded = true;
-  std::erase_if(m_newest, [&](const auto& aPair) { return !keys.contains(aPair.first); });
+  std::erase_if(m_newestByKey, [&](const auto& aPair) { return !keys.contains(aPair.first); });
   if (m_events.m_onSnapshot) {
     m_events.m_onSnapshot(keys);
   }
 }
 
-void TopicFollower::Contact(base::TimePoint aAt, bool aWasAway)
+void TopicFollower::OnContact(base::TimePoint aAt, bool aRecovered)
 {
-  m_retry = m_options.m_retryFirst;
-  m_patienceNow = m_options.m_patience;
-  m_contactAt = m_contactAt ? std::max(*m_contactAt, aAt) : aAt;
-  if (aWasAway) {
+  m_retryDelay = m_options.m_retryMin;
+  m_currentReplyTimeout = m_options.m_replyTimeout;
+  m_lastContactAt = m_lastContactAt ? std::max(*m_lastContactAt, aAt) : aAt;
+  if (aRecovered) {
     ++m_outages;
-    m_waryUntil = base::MonotonicNow() + m_options.m_waryFor;
+    m_shortWaitUntil = base::MonotonicNow() + m_options.m_shortWaitPeriod;
   }
   if (m_events.m_onContact) {
-    m_events.m_onContact(aWasAway, *m_contactAt);
+    m_events.m_onContact(aRecovered, *m_lastContactAt);
   }
 }
 
-base::Duration TopicFollower::PauseNow() const
+base::Duration TopicFollower::CurrentPause() const
 {
-  const bool serving = m_servedAt && base::MonotonicNow() < *m_servedAt + m_options.m_servingFor;
+  const bool serving =
+    m_lastServedAt && base::MonotonicNow() < *m_lastServedAt + m_options.m_servingPeriod;
   return serving ? std::min(m_options.m_servingPause, m_options.m_pause) : m_options.m_pause;
 }
 
@@ -199,112 +201,112 @@
   return { m_options.m_topic, m_next, !m_loaded };
 }
 
-TopicNews TopicFollower::Whole() const
+TopicUpdate TopicFollower::FullUpdate() const
 {
-  TopicNews news;
-  news.m_whole = true;
-  for (const auto& [key, record] : m_newest) {
+  TopicUpdate update;
+  update.m_isSnapshot = true;
+  for (const auto& [key, record] : m_newestByKey) {
     if (!record.m_removed) {
-      news.m_records.push_back(record);
+      update.m_records.push_back(record);
     }
   }
   const auto isOlder = [](const Record& aLeft, const Record& aRight) {
     return aLeft.m_offset < aRight.m_offset;
   };
-  std::sort(news.m_records.begin(), news.m_records.end(), isOlder);
-  return news;
+  std::sort(update.m_records.begin(), update.m_records.end(), isOlder);
+  return update;
 }
 
-std::optional<TopicNews> TopicFollower::NewsSince(const TopicCursor& aFrom,
-                                                  base::TimePoint aNow,
-                                                  PassOn aMost)
+std::optional<TopicUpdate> TopicFollower::UpdateSince(const TopicCursor& aFrom,
+                                                      base::TimePoint aNow,
+                                                      RelayLimit aLimit)
 {
-  m_servedAt = aNow;
-  if (!m_loaded || !m_contactAt) {
+  m_lastServedAt = aNow;
+  if (!m_loaded || !m_lastContactAt) {
     return std::nullopt;
   }
-  std::optional<std::vector<Record>> records = m_tail.Since(aFrom.m_next, aMost);
-  TopicNews news = aFrom.m_nothing && !m_away ? Whole() : TopicNews{};
-  news.m_topic = m_options.m_topic;
-  news.m_from = aFrom.m_next;
-  news.m_end = m_tail.End();
-  news.m_age = aNow - *m_contactAt;
-  news.m_outages = m_outages;
-  news.m_readYourself = m_away || (!news.m_whole && !records);
-  if (!news.m_whole && !news.m_readYourself) {
-    news.m_records = std::move(*records);
+  std::optional<std::vector<Record>> records = m_tail.Since(aFrom.m_next, aLimit);
+  TopicUpdate update = aFrom.m_unread && !m_unreachable ? FullUpdate() : TopicUpdate{};
+  update.m_topic = m_options.m_topic;
+  update.m_from = aFrom.m_next;
+  update.m_end = m_tail.End();
+  update.m_age = aNow - *m_lastContactAt;
+  update.m_outages = m_outages;
+  update.m_unavailable = m_unreachable || (!update.m_isSnapshot && !records);
+  if (!update.m_isSnapshot && !update.m_unavailable) {
+    update.m_records = std::move(*records);
   }
-  return news;
+  return update;
 }
 
-bool TopicFollower::IsUsable(const TopicNews& aNews,
+bool TopicFollower::IsUsable(const TopicUpdate& aUpdate,
                              base::TimePoint aAskedAt,
                              base::TimePoint aNow) const
 {
-  const bool fresh = aNow < aAskedAt - aNews.m_age + m_options.m_newsFresh;
-  const bool gap = aNews.m_from > m_next;
-  const bool fits = aNews.m_whole || (m_loaded && !gap);
-  return fits && !aNews.m_readYourself && fresh;
+  const bool fresh = aNow < aAskedAt - aUpdate.m_age + m_options.m_maxUpdateAge;
+  const bool gap = aUpdate.m_from > m_next;
+  const bool fits = aUpdate.m_isSnapshot || (m_loaded && !gap);
+  return fits && !aUpdate.m_unavailable && fresh;
 }
 
-void TopicFollower::OnNews(const TopicNews& aNews, base::TimePoint aAskedAt)
+void TopicFollower::OnUpdate(const TopicUpdate& aUpdate, base::TimePoint aAskedAt)
 {
   const base::TimePoint now = base::MonotonicNow();
-  const base::TimePoint contact = aAskedAt - aNews.m_age;
-  if (m_stopped || !IsUsable(aNews, aAskedAt, now)) {
-    OnNewsEnded();
+  const base::TimePoint contact = aAskedAt - aUpdate.m_age;
+  if (m_stopped || !IsUsable(aUpdate, aAskedAt, now)) {
+    OnRelayEnded();
     return;
   }
   // Any read under way is dropped: the other host's reads stand for it.
-  ++m_read;
+  ++m_readNumber;
   m_reading = false;
-  m_byNews = true;
-  const bool cameBack = m_outagesThere && *m_outagesThere != aNews.m_outages;
-  m_outagesThere = aNews.m_outages;
-  Contact(contact, std::exchange(m_away, false) || cameBack);
-  if (aNews.m_whole && !m_loaded) {
-    TellWhole(aNews.m_records, aNews.m_end);
+  m_relayed = true;
+  const bool cameBack = m_relayOutages && *m_relayOutages != aUpdate.m_outages;
+  m_relayOutages = aUpdate.m_outages;
+  OnContact(contact, std::exchange(m_unreachable, false) || cameBack);
+  if (aUpdate.m_isSnapshot && !m_loaded) {
+    DeliverSnapshot(aUpdate.m_records, aUpdate.m_end);
   }
-  if (!aNews.m_whole) {
-    TakeFurther(aNews.m_records, aNews.m_end);
+  if (!aUpdate.m_isSnapshot) {
+    ApplyUpdate(aUpdate.m_records, aUpdate.m_end);
   }
-  Later(m_options.m_newsFresh - (now - contact), &TopicFollower::OnNewsEnded);
+  Schedule(m_options.m_maxUpdateAge - (now - contact), &TopicFollower::OnRelayEnded);
 }
 
-void TopicFollower::TakeFurther(std::span<const Record> aRecords, Offset aEnd)
+void TopicFollower::ApplyUpdate(std::span<const Record> aRecords, Offset aEnd)
 {
   for (const Record& record : aRecords) {
     if (record.m_offset >= m_next) {
-      Take(record);
+      Apply(record);
     }
   }
   m_tail.SkipTo(aEnd);
   m_next = std::max(m_next, aEnd);
 }
 
-void TopicFollower::OnNewsEnded()
+void TopicFollower::OnRelayEnded()
 {
-  m_outagesThere.reset();
-  if (std::exchange(m_byNews, false) && !m_stopped) {
+  m_relayOutages.reset();
+  if (std::exchange(m_relayed, false) && !m_stopped) {
     m_timer.reset();
     // What made the other host lose the log may have silenced this one's idle connection to it,
     // too.
-    m_waryUntil = base::MonotonicNow() + m_options.m_waryFor;
+    m_shortWaitUntil = base::MonotonicNow() + m_options.m_shortWaitPeriod;
     // The news were relied on for most of the bound.
-    ReadAtOnce();
+    ReadImmediately();
   }
 }
 
-void TopicFollower::Away(const base::Failure& aFailure)
+void TopicFollower::OnUnreachable(const base::Failure& aFailure)
 {
-  if (!std::exchange(m_away, true) && m_events.m_onAway) {
-    m_events.m_onAway(aFailure);
+  if (!std::exchange(m_unreachable, true) && m_events.m_onUnreachable) {
+    m_events.m_onUnreachable(aFailure);
   }
-  Later(m_retry, m_loaded ? &TopicFollower::ReadAtOnce : &TopicFollower::LoadSnapshot);
-  m_retry = std::min(m_retry * 2, m_options.m_retryMost);
+  Schedule(m_retryDelay, m_loaded ? &TopicFollower::ReadImmediately : &TopicFollower::LoadSnapshot);
+  m_retryDelay = std::min(m_retryDelay * 2, m_options.m_retryMax);
 }
 
-void TopicFollower::Later(base::Duration aDelay, void (TopicFollower::*aStep)())
+void TopicFollower::Schedule(base::Duration aDelay, void (TopicFollower::*aStep)())
 {
   std::weak_ptr<TopicFollower> weak = weak_from_this();
   m_timer = m_loop.After(aDelay, [weak, aStep] {
--- /dev/null
+++ b/src/ferrytray/store/topic_update_test.cpp
@@ -0,0 +1,225 @@
+// One host follows a topic through another one.
+#include "ferrytray/store/topic_follower.hpp"
+
+#include "tests/support/fake_record_log.hpp" // for FakeRecordLog
+
+#include <CppUTest/TestHarness.h> // for TEST
+
+using namespace ferrytray;
+using namespace std::chrono_literals;
+using support::RecordOf;
+
+namespace {
+
+store::TopicUpdate MakeUpdate(store::Offset aEnd, std::vector<store::Record> aRecords = {})
+{
+  store::TopicUpdate update;
+  update.m_topic = "t";
+  update.m_end = aEnd;
+  update.m_records = std::move(aRecords);
+  return update;
+}
+
+} // namespace
+
+TEST_GROUP(TopicUpdate)
+{
+  net::Loop m_loop;
+  support::FakeRecordLog m_log{ m_loop };
+  std::shared_ptr<store::TopicFollower> m_follower;
+  std::string m_events;
+
+  void setup() override
+  {
+    m_log.m_snapshots.push_back(store::Snapshot{ 5, { RecordOf(3, "a", "1") } });
+    m_log.m_hang = true; // its own reads are not answered
+    m_log.m_onHung = [] {};
+    store::FollowOptions options;
+    options.m_topic = "t";
+    options.m_pause = 1h;
+    options.m_maxUpdateAge = 100ms;
+    store::FollowEvents events;
+    events.m_onRecord = [this](const store::Record& aRecord) {
+      m_events += aRecord.m_key + "=" + aRecord.m_value + " ";
+      return aRecord.m_value != "same";
+    };
+    events.m_onContact = [this](bool aRecovered, base::TimePoint) {
+      m_events += aRecovered ? "back " : "";
+    };
+    m_follower = std::make_shared<store::TopicFollower>(m_loop, m_log, options, events);
+    m_follower->Start();
+    m_loop.RunFor(1ms);
+    m_events.clear();
+  }
+  void teardown() override
+  {
+    m_follower->Stop();
+  }
+
+  void Receive(const store::TopicUpdate& aNews)
+  {
+    m_follower->OnUpdate(aNews, base::MonotonicNow());
+  }
+};
+
+TEST(TopicUpdate, RelayedRecordsAreDeliveredOnceWithoutReadingTheLog)
+{
+  Receive(MakeUpdate(7, { RecordOf(5, "a", "2"), RecordOf(6, "b", "1") }));
+  Receive(MakeUpdate(8, { RecordOf(6, "b", "1"), RecordOf(7, "c", "1") }));
+  STRCMP_EQUAL("a=2 b=1 c=1 ", m_events.c_str());
+  LONGS_EQUAL(8, m_follower->Cursor().m_next);
+  m_loop.RunFor(20ms);
+  CHECK(m_log.m_readFrom.empty());
+}
+
+TEST(TopicUpdate, ReadsTheLogWhenUpdatesStop)
+{
+  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
+  for (int i = 0; i < 1000 && m_log.m_readFrom.empty(); ++i) {
+    m_loop.RunFor(1ms);
+  }
+  LONGS_EQUAL(6, m_log.m_readFrom.at(0));
+}
+
+TEST(TopicUpdate, ReadsTheLogIfTheOtherHostIsUnavailable)
+{
+  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
+  store::TopicUpdate away = MakeUpdate(6);
+  away.m_unavailable = true;
+  Receive(away);
+  LONGS_EQUAL(1, m_log.m_readFrom.size());
+}
+
+TEST(TopicUpdate, IgnoresOldUpdatesAndUpdatesWithAGap)
+{
+  store::TopicUpdate old = MakeUpdate(6, { RecordOf(5, "a", "2") });
+  old.m_age = 200ms;
+  Receive(old);
+  store::TopicUpdate gap = MakeUpdate(9, { RecordOf(8, "a", "3") });
+  gap.m_from = 8; // what was told before that is missing
+  Receive(gap);
+  STRCMP_EQUAL("", m_events.c_str());
+  LONGS_EQUAL(5, m_follower->Cursor().m_next);
+}
+
+TEST(TopicUpdate, ReportsAnOutageSeenByTheOtherHost)
+{
+  Receive(MakeUpdate(5));
+  store::TopicUpdate after = MakeUpdate(5);
+  after.m_outages = 1;
+  Receive(after);
+  STRCMP_EQUAL("back ", m_events.c_str());
+  Receive(after);
+  STRCMP_EQUAL("back ", m_events.c_str());
+}
+
+TEST(TopicUpdate, SwitchingToAnotherHostIsNoOutage)
+{
+  Receive(MakeUpdate(5));
+  m_follower->OnRelayEnded();
+  store::TopicUpdate other = MakeUpdate(5);
+  other.m_outages = 7;
+  Receive(other);
+  STRCMP_EQUAL("", m_events.c_str());
+}
+
+TEST(TopicUpdate, RelayedRecordsAreRelayedAgain)
+{
+  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
+  const auto update = m_follower->UpdateSince({ "t", 5 }, base::MonotonicNow());
+  CHECK(update.has_value() && !update->m_unavailable);
+  LONGS_EQUAL(1, update->m_records.size());
+  CHECK(m_follower->UpdateSince({ "t", 4 }, base::MonotonicNow())->m_unavailable);
+}
+
+// Load: the log turns some hosts away and resets or silences connections of others on the way.
+// News count for most of the bound, so there is no time left for a read that is held open.
+TEST(TopicUpdate, TheFirstReadAfterUpdatesEndIsNotHeldOpen)
+{
+  m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
+  store::FollowOptions options;
+  options.m_topic = "t";
+  options.m_wait = 20s;
+  options.m_shortWaitPeriod = 10ms; // over by the time that news end
+  store::FollowEvents events;
+  events.m_onRecord = [](const store::Record&) { return true; };
+  const auto follower =
+    std::make_shared<store::TopicFollower>(m_loop, m_log, options, std::move(events));
+  follower->Start();
+  m_loop.RunFor(30ms);
+  follower->OnUpdate(MakeUpdate(5, {}), base::MonotonicNow());
+  follower->OnRelayEnded();
+  CHECK(m_log.m_waits.back() == 0ms);
+  follower->Stop();
+}
+
+TEST_GROUP(RecordTail){};
+
+TEST(RecordTail, KeepsTheNewestRecordsAndReportsMissingOnes)
+{
+  store::RecordTail tail({ .m_maxRecords = 3, .m_maxRelayBytes = 100 });
+  tail.Restart(10);
+  CHECK(tail.Since(10)->empty());
+  CHECK_FALSE(tail.Since(9).has_value());
+  for (store::Offset offset = 10; offset < 15; ++offset) {
+    tail.Add(RecordOf(offset, "k", "v"));
+  }
+  LONGS_EQUAL(3, tail.Since(12)->size());
+  LONGS_EQUAL(1, tail.Since(14)->size());
+  CHECK_FALSE(tail.Since(11).has_value());
+  tail.Add(RecordOf(15, "k", std::string(100, 'v')));
+  CHECK_FALSE(tail.Since(15).has_value()); // too large to be passed on
+  // A host that has lost the log could not read it elsewhere.
+  LONGS_EQUAL(1, tail.Since(15, store::RelayLimit::Unbounded)->size());
+}
+
+TEST(TopicUpdate, UpdatesAreUnavailableWhileOwnReadsFail)
+{
+  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
+  m_log.m_hang = false;
+  m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "down"));
+  m_log.m_batches.push_back(store::Batch{ 6, {} });
+  CHECK_FALSE(m_follower->UpdateSince({ "t", 6 }, base::MonotonicNow())->m_unavailable);
+  m_follower->OnRelayEnded(); // reads, and fails
+  CHECK(m_follower->UpdateSince({ "t", 6 }, base::MonotonicNow())->m_unavailable);
+  m_loop.Run(); // reads again; the fake ends the loop when it has no more answers
+  CHECK_FALSE(m_follower->UpdateSince({ "t", 6 }, base::MonotonicNow())->m_unavailable);
+}
+
+TEST(TopicUpdate, RecordsWithoutNewContentAreNotRelayed)
+{
+  Receive(
+    MakeUpdate(9, { RecordOf(5, "a", "2"), RecordOf(6, "a", "same"), RecordOf(7, "b", "1") }));
+  const auto update = m_follower->UpdateSince({ "t", 5, false }, base::MonotonicNow());
+  LONGS_EQUAL(2, update->m_records.size());
+  STRCMP_EQUAL("b", update->m_records[1].m_key.c_str());
+  LONGS_EQUAL(9, update->m_end);
+  // Whoever takes these has followed the topic to its end.
+  LONGS_EQUAL(9, m_follower->Cursor().m_next);
+  LONGS_EQUAL(0,
+              m_follower->UpdateSince({ "t", 9, false }, base::MonotonicNow())->m_records.size());
+}
+
+TEST(TopicUpdate, ABusyTopicIsRelayedIfFewRecordsHaveNewContent)
+{
+  // 2,500 heartbeats a second of 3,000 endpoints, of which a few tell something.
+  constexpr store::Offset kHeartbeats = 5'000;
+  std::vector<store::Record> records;
+  for (store::Offset offset = 5; offset < 5 + kHeartbeats; ++offset) {
+    records.push_back(RecordOf(offset, "a", offset % 100 == 0 ? "new" : "same"));
+  }
+  Receive(MakeUpdate(5 + kHeartbeats, std::move(records)));
+  const auto update = m_follower->UpdateSince({ "t", 5, false }, base::MonotonicNow());
+  CHECK_FALSE(update->m_unavailable);
+  LONGS_EQUAL(kHeartbeats / 100, update->m_records.size());
+}
+
+TEST(TopicUpdate, AnUpdateThatStartsAfterTheCursorIsNotUsable)
+{
+  const base::TimePoint now = base::MonotonicNow();
+  store::TopicUpdate update = MakeUpdate(9);
+  update.m_from = 5;
+  CHECK(m_follower->IsUsable(update, now, now));
+  update.m_from = 6;
+  CHECK_FALSE(m_follower->IsUsable(update, now, now));
+}
--- a/src/ferrytray/store/unreadable_records_test.cpp
+++ b/src/ferrytray/store/unreadable_records_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(UnreadableRecords){};
 
-TEST(UnreadableRecords, EachIsCountedByItsCode)
+TEST(UnreadableRecords, CountsRecordsByErrorCode)
 {
   telemetry::Metrics metrics;
   store::UnreadableRecords records(&metrics);
@@ -19,7 +19,7 @@
   CHECK(text.find(" 1000\n") != std::string::npos);
 }
 
-TEST(UnreadableRecords, WithoutMetricsTheyAreOnlyLogged)
+TEST(UnreadableRecords, OnlyLogsWithoutMetrics)
 {
   store::UnreadableRecords records;
   records.Note({}, base::Fail(base::ErrorCode::PlatformMalformed, "no JSON").value());
--- a/tests/support/news_fixture.hpp
+++ b/tests/support/news_fixture.hpp
@@ -120,7 +120,7 @@
     store::FollowOptions options;
     options.m_topic = aTopic;
     options.m_pause = 5ms;
-    options.m_newsFresh = 20s;
+    options.m_maxUpdateAge = 20s;
     store::FollowEvents events;
     events.m_onRecord = [&aTold](const store::Record& aRecord) {
       aTold += aRecord.m_key;
