--- a/include/ferrytray/store/metered_log.hpp
+++ b/include/ferrytray/store/metered_log.hpp
@@ -8,8 +8,8 @@
 
 namespace ferrytray::store {
 
-/// @brief Passes calls on to a log, and counts and logs each by kind and topic: every call is
-/// charged, and a log shared by hundreds of hosts has a limit for all of them together.
+/// @brief Forwards calls to a log, and counts and logs each by kind and topic: every call is
+/// charged, and hundreds of hosts share one rate limit of the log.
 class MeteredLog final : public RecordLog
 {
 public:
--- a/include/ferrytray/store/record_tail.hpp
+++ b/include/ferrytray/store/record_tail.hpp
@@ -11,21 +11,22 @@
 
 namespace ferrytray::store {
 
-/// @brief How much is passed on to another host at once.
+/// @brief How much is relayed to another host at a time.
 enum class RelayLimit : std::uint8_t
 {
-  Bounded,   ///< it can read large records from the log itself
-  Unbounded, ///< it has lost the log
+  Bounded,   ///< up to m_maxRelayBytes; the other host can read the rest from the log
+  Unbounded, ///< without a limit; the other host cannot reach the log
 };
 
 struct RecordTailOptions
 {
-  std::size_t m_maxRecords = 512; ///< kept; a busy topic gets some tens a second
-  /// More than this is not passed on at once: hosts with thin links would be busy with it (bytes).
+  std::size_t m_maxRecords = 512; ///< records kept; a busy topic gets some tens a second
+  /// Bytes relayed at a time; more would keep hosts with slow links busy.
   std::size_t m_maxRelayBytes = 32U << 10U;
 };
 
-/// @brief The newest records of a topic, for hosts that follow it through this one. Pure.
+/// @brief The newest records of a topic, kept for hosts that follow it through this one. Does no
+/// I/O.
 class RecordTail
 {
 public:
@@ -34,7 +35,7 @@
   {
   }
 
-  /// @brief Begins anew behind a snapshot.
+  /// @brief Drops all records; the next one is at aEnd, the end of a snapshot.
   void Restart(Offset aEnd)
   {
     m_records.clear();
@@ -42,7 +43,7 @@
     m_end = aEnd;
   }
 
-  /// @brief Adds the record at the end.
+  /// @brief Appends a record and drops the oldest one if there are too many.
   void Add(const Record& aRecord)
   {
     m_records.push_back(aRecord);
@@ -53,11 +54,11 @@
     }
   }
 
-  /// @brief What is in the topic up to there tells nothing that is not known: it is not passed on.
+  /// @brief Moves the end to aEnd. The records before it carry nothing new and are not relayed.
   void SkipTo(Offset aEnd) { m_end = std::max(m_end, aEnd); }
 
-  /// @brief The records from an offset on that tell something; nothing if they are no longer kept
-  /// or too large.
+  /// @brief Returns the records from an offset on that carry something new; none if they are no
+  /// longer kept or exceed the limit.
   [[nodiscard]] std::optional<std::vector<Record>> Since(
     Offset aFrom,
     RelayLimit aLimit = RelayLimit::Bounded) const;
@@ -65,7 +66,7 @@
 
 private:
   RecordTailOptions m_options;
-  Offset m_begin = 0; ///< from here on nothing that tells something is missing
+  Offset m_begin = 0; ///< from here on all records that carry something new are kept
   Offset m_end = 0;
   std::deque<Record> m_records;
 };
--- a/include/ferrytray/store/topic_follower.hpp
+++ b/include/ferrytray/store/topic_follower.hpp
@@ -17,105 +17,108 @@
 
 namespace ferrytray::store {
 
-/// @brief How a topic is followed.
+/// @brief Settings of a TopicFollower.
 struct FollowOptions
 {
   std::string m_topic;
-  /// The log holds a read open for so long when there is nothing new; zero: it answers at once.
+  /// How long the log holds a read open while there is nothing new; zero: it replies at once.
   base::Duration m_wait{};
-  /// Pause between reads. Every read costs the operators, so a busy topic is read in batches.
+  /// Pause between reads. Every read is charged to the operators, so a busy topic is read in
+  /// batches.
   base::Duration m_pause = std::chrono::milliseconds(500);
-  /// The same while other hosts follow through this one: what they learn comes later still.
+  /// The pause while other hosts follow through this one, since relaying delays the records
+  /// further.
   base::Duration m_servingPause = std::chrono::milliseconds(500);
-  base::Duration m_servingPeriod = std::chrono::seconds(4); ///< after the last of them asked
-  /// A read that is held open may be lost without a word while the log is slow or around an outage.
-  /// For m_shortWaitPeriod after such a sign, and after the start, reads are held open this long
-  /// only. Each sign also brings a read that is not held open.
+  base::Duration m_servingPeriod = std::chrono::seconds(4); ///< after the last request
+  /// A held read may be lost silently while the log is slow or around an outage. After any sign of
+  /// this, and after the start, reads are held open only this long for m_shortWaitPeriod. Each sign
+  /// also triggers a read that is not held open.
   base::Duration m_shortWait = std::chrono::milliseconds(800);
   base::Duration m_shortWaitPeriod = std::chrono::seconds(15);
-  /// For an answer beyond the wait; it doubles up to the most while answers do not come.
   /// A read that is not held open and takes longer is a sign of a slow log (usual: 5 ms).
   base::Duration m_slowThreshold = std::chrono::milliseconds(60);
+  /// How long to wait for a reply beyond the wait; doubles up to the maximum while none comes.
   base::Duration m_replyTimeout = std::chrono::milliseconds(600);
   base::Duration m_maxReplyTimeout = std::chrono::milliseconds(2400);
   base::Duration m_retryMin = std::chrono::milliseconds(100);
   base::Duration m_retryMax = std::chrono::milliseconds(500);
-  /// News through another host count while the log answered that host no longer ago than this; then
-  /// this one reads by itself.
+  /// Relayed updates are used while the log answered the relaying host no longer ago than this;
+  /// after that this host reads the log itself.
   base::Duration m_maxUpdateAge = std::chrono::milliseconds(1000);
 };
 
-/// @brief What the follower tells. All calls come on the loop, records in order.
+/// @brief Callbacks of a TopicFollower. All calls are made on the loop, records in order.
 struct FollowEvents
 {
-  /// @return whether it told something new: if not, hosts that follow through this one do not get
-  /// it
+  /// @return whether the record carried something new; if not, it is not relayed to other hosts
   std::function<bool(const Record&)> m_onRecord;
-  /// The whole topic was read; keys that are not listed are gone.
+  /// The whole topic was read; keys that are not listed have been removed.
   std::function<void(const std::set<std::string>& aKeys)> m_onSnapshot;
-  /// A read succeeded, after failures if aRecovered. Comes before what that read brought.
-  /// The log answered at aAt, this host or the one that passes its records on.
+  /// A read succeeded, after failures if aRecovered. Called before the records of that read. At aAt
+  /// the log answered this host or the one that relays its records.
   std::function<void(bool aRecovered, base::TimePoint aAt)> m_onContact;
   std::function<void(const base::Failure&)> m_onUnreachable;
-  /// A read that was held open has failed; it is followed by one that is not, before
-  /// m_onUnreachable.
+  /// A held read failed. A read that is not held open follows; m_onUnreachable is called only if
+  /// that fails too.
   std::function<void(base::Duration aOpen)> m_onHeldReadFailed;
-  /// A read that is not held open took long.
+  /// On a topic without held reads: a read took longer than m_slowThreshold.
   std::function<void(base::Duration aTook)> m_onSlow;
 };
 
-/// @brief Follows a keyed topic: a snapshot first, then record by record; a new snapshot when
-/// history was lost. A key's older record never comes after a newer one.
+/// @brief Follows a keyed topic: reads a snapshot, then record by record, and a new snapshot when
+/// the log has dropped records. Never delivers an older record of a key after a newer one.
 ///
-/// While the log answers reads that are not held open, what it had is known after a wait and the
-/// patience, whatever becomes of the ones that are.
+/// As long as the log answers reads that are not held open, a record is delivered within the wait
+/// plus the reply timeout, even if held reads are lost.
 class TopicFollower : public std::enable_shared_from_this<TopicFollower>
 {
 public:
   TopicFollower(net::Loop& aLoop, RecordLog& aLog, FollowOptions aOptions, FollowEvents aEvents);
-  /// @brief Reads the topic, unless that was begun or another host has passed it on.
+  /// @brief Starts to read the topic, unless that has begun or another host relays it.
   void Start();
   void Stop();
-  /// @brief The log was seen to have failed or to be slow: the read under way is not relied on any
-  /// more.
+  /// @brief Replaces the read in progress by one that is not held open, since the log was seen to
+  /// fail or to be slow.
   void RestartRead();
-  /// @brief Up to where records are known.
+  /// @brief Returns how far the topic has been followed.
   [[nodiscard]] TopicCursor Cursor() const;
-  /// @brief What a host that has followed up to there does not know yet.
+  /// @brief Returns the update for a host that has followed the topic up to aFrom; none if nothing
+  /// is known yet.
   [[nodiscard]] std::optional<TopicUpdate> UpdateSince(const TopicCursor& aFrom,
                                                        base::TimePoint aNow,
                                                        RelayLimit aLimit = RelayLimit::Bounded);
-  /// @brief Whether the log did not answer this host's last read and nobody passes records on.
+  /// @brief Whether this host's last read failed and no other host relays the topic.
   [[nodiscard]] bool IsUnreachable() const { return m_unreachable; }
-  /// @brief Whether another host passes records on, so that this one does not read.
+  /// @brief Whether another host relays the topic, so that this one does not read it.
   [[nodiscard]] bool IsRelayed() const { return m_relayed; }
-  /// @brief Whether OnUpdate() would go by these.
+  /// @brief Whether OnUpdate() would use the update.
   [[nodiscard]] bool IsUsable(const TopicUpdate& aUpdate,
                               base::TimePoint aAskedAt,
                               base::TimePoint aNow) const;
   [[nodiscard]] const std::string& Topic() const { return m_options.m_topic; }
-  /// @brief News through another host. While they keep coming, this one does not read by itself.
-  /// @param aAskedAt when that host was asked
+  /// @brief Applies an update from another host. While updates keep coming, this host does not read
+  /// the log.
+  /// @param aAskedAt when that host was sent the request
   void OnUpdate(const TopicUpdate& aUpdate, base::TimePoint aAskedAt);
-  /// @brief News come from another host from now on, or no more: until they come again, this one
-  /// reads by itself.
+  /// @brief The other host changes or no longer relays the topic: this host reads the log until the
+  /// next usable update.
   void OnRelayEnded();
 
 private:
   void LoadSnapshot();
   void OnSnapshot(base::Result<Snapshot> aResult);
   void ReadNext();
-  /// Reads what is there; the log does not hold this one open.
+  /// Reads the available records; the log does not hold this read open.
   void ReadImmediately();
   void Read(base::Duration aWait);
   void OnFailure(const base::Failure& aFailure);
   void OnBatch(std::uint64_t aRead, base::Result<Batch> aResult);
   [[nodiscard]] base::Duration CurrentWait() const;
-  /// @return whether it told something new
+  /// @return whether the record carried something new
   bool Deliver(const Record& aRecord);
-  /// Tells the record and keeps it for hosts that follow through this one.
+  /// Delivers the record and keeps it for hosts that follow through this one.
   void Apply(const Record& aRecord);
-  /// @param aEnd up to there nothing else tells something new
+  /// @param aEnd end of the range; its other records carry nothing new
   void ApplyUpdate(std::span<const Record> aRecords, Offset aEnd);
   void DeliverSnapshot(const std::vector<Record>& aRecords, Offset aEnd);
   [[nodiscard]] TopicUpdate FullUpdate() const;
@@ -130,23 +133,23 @@
   FollowEvents m_events;
   Offset m_next = 0;
   bool m_loaded = false;
-  bool m_loading = false; ///< a snapshot is being read
+  bool m_loading = false; ///< a snapshot read is in progress
   bool m_unreachable = false;
   bool m_stopped = false;
-  std::uint64_t m_readNumber = 0; ///< number of the newest read; answers to others are dropped
+  std::uint64_t m_readNumber = 0; ///< of the newest read; replies to earlier ones are dropped
   bool m_reading = false;
   base::TimePoint m_readStartedAt{};
-  base::Duration m_readWait{}; ///< how long that read may be held open
+  base::Duration m_readWait{}; ///< how long the newest read may be held open
   base::Duration m_currentReplyTimeout{};
   std::optional<base::TimePoint> m_shortWaitUntil;
   base::Duration m_retryDelay{};
   RecordTail m_tail;
-  bool m_relayed = false; ///< through another host: this one does not read by itself
-  std::optional<base::TimePoint> m_lastContactAt; ///< when the log last answered, as far as known
-  std::uint64_t m_outages = 0;                    ///< times that it came back
-  std::optional<std::uint64_t> m_relayOutages;    ///< the same at the host that passes news on
-  std::optional<base::TimePoint> m_lastServedAt;  ///< when another host last asked this one
-  std::unordered_map<std::string, Record> m_newestByKey; ///< last told, by key
+  bool m_relayed = false; ///< another host relays the topic; this one does not read it
+  std::optional<base::TimePoint> m_lastContactAt; ///< latest known reply of the log to any host
+  std::uint64_t m_outages = 0;                    ///< number of times that the log recovered
+  std::optional<std::uint64_t> m_relayOutages;    ///< the same count of the relaying host
+  std::optional<base::TimePoint> m_lastServedAt;  ///< when another host last requested an update
+  std::unordered_map<std::string, Record> m_newestByKey; ///< newest delivered record of each key
   net::TimerHandle m_timer;
 };
 
--- a/include/ferrytray/store/topic_update.hpp
+++ b/include/ferrytray/store/topic_update.hpp
@@ -14,21 +14,22 @@
 {
   std::string m_topic;
   Offset m_next = 0;
-  bool m_unread = false; ///< it has not read the topic yet
+  bool m_unread = false; ///< the host has not read the topic yet
 };
 
-/// @brief What one host tells another of a topic that it reads.
+/// @brief What one host relays to another of a topic that it reads.
 struct TopicUpdate
 {
   std::string m_topic;
-  Offset m_from = 0;             ///< the cursor of whoever asked
+  Offset m_from = 0;             ///< the cursor of the requesting host
   Offset m_end = 0;              ///< the topic's end when it was last read
-  std::vector<Record> m_records; ///< all from the cursor to the end that tell something new
-  bool m_isSnapshot = false;     ///< instead: the newest record of each key
-  /// The records are not here: no longer kept, or too many. Who asked has to read by itself.
+  std::vector<Record> m_records; ///< all from the cursor to the end that carry something new
+  bool m_isSnapshot = false;     ///< m_records are the newest record of each key instead
+  /// The records are not included: no longer kept, too many, or the log is unreachable. The
+  /// requesting host has to read them from the log.
   bool m_unavailable = false;
   base::Duration m_age{};      ///< since the log last answered
-  std::uint64_t m_outages = 0; ///< times that the log came back, as this host saw it
+  std::uint64_t m_outages = 0; ///< how often the log recovered, as seen by the relaying host
 };
 
 } // namespace ferrytray::store
--- a/include/ferrytray/store/unreadable_records.hpp
+++ b/include/ferrytray/store/unreadable_records.hpp
@@ -7,12 +7,12 @@
 
 namespace ferrytray::store {
 
-/// @brief Counts records that this host could not read, and logs each cause at a bounded rate:
-/// other writers' mistakes must not fill its log.
+/// @brief Counts records that this host could not decode, and logs each cause at a bounded rate, so
+/// that faulty writers cannot flood its log.
 class UnreadableRecords
 {
 public:
-  /// @param aMetrics must outlive this; null: they are logged only
+  /// @param aMetrics must outlive this; null: records are only logged
   explicit UnreadableRecords(telemetry::Metrics* aMetrics = nullptr)
     : m_metrics(aMetrics)
   {
--- a/src/ferrytray/store/record_tail.cpp
+++ b/src/ferrytray/store/record_tail.cpp
@@ -6,7 +6,7 @@
 {
   std::vector<Record> records;
   if (aFrom >= m_end) {
-    return records; // whoever asks knows as much
+    return records; // the requesting host has all of them
   }
   if (aFrom < m_begin) {
     return std::nullopt;
--- a/src/ferrytray/store/topic_follower.cpp
+++ b/src/ferrytray/store/topic_follower.cpp
@@ -100,9 +100,9 @@
 void TopicFollower::OnFailure(const base::Failure& aFailure)
 {
   if (m_readWait.count() > 0) {
-    // A log may leave a read that it holds open unanswered and still answer others. So this says
-    // nothing of the log, and what it has is asked for at once: were the next read held open, too,
-    // two in a row would cost over the bound.
+    // A log may leave a held read unanswered and still answer others, so this failure does not mean
+    // an outage. The next read is not held open: two lost held reads in a row would exceed the
+    // bound on the delay.
     if (m_events.m_onHeldReadFailed) {
       m_events.m_onHeldReadFailed(base::MonotonicNow() - m_readStartedAt);
     }
@@ -257,7 +257,7 @@
     OnRelayEnded();
     return;
   }
-  // Any read under way is dropped: the other host's reads stand for it.
+  // Drops any read in progress; the reads of the other host replace it.
   ++m_readNumber;
   m_reading = false;
   m_relayed = true;
@@ -289,10 +289,10 @@
   m_relayOutages.reset();
   if (std::exchange(m_relayed, false) && !m_stopped) {
     m_timer.reset();
-    // What made the other host lose the log may have silenced this one's idle connection to it,
+    // The cause of the other host's outage may have broken this host's idle connection to the log,
     // too.
     m_shortWaitUntil = base::MonotonicNow() + m_options.m_shortWaitPeriod;
-    // The news were relied on for most of the bound.
+    // Waiting for updates has used up most of the bound on the delay.
     ReadImmediately();
   }
 }
--- a/src/ferrytray/store/topic_follower_test.cpp
+++ b/src/ferrytray/store/topic_follower_test.cpp
@@ -87,7 +87,7 @@
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "down"));
   m_log.m_batches.push_back(store::Batch{ 5, {} });
   Follow();
-  CHECK(m_log.m_waits.front() == 800ms); // and after the start
+  CHECK(m_log.m_waits.front() == 800ms); // also after the start
   CHECK(m_log.m_waits.back() == 800ms);
 }
 
@@ -132,9 +132,8 @@
   CHECK(m_log.m_waits[1] == 0ms);
 }
 
-// Seen: a log that answered no held read for a while, and hosts that were behind for as long as it
-// lasted, since the next read was held open again. So one unanswered read says nothing of the log:
-// the next one asks for what is there, and only its failure counts as an outage.
+// Guards against hosts that fall behind while the log leaves held reads unanswered: the next read
+// used to be held open again. Now it is not, and only its failure counts as an outage.
 TEST(TopicFollower, DoesNotHoldTheReadAfterAFailedHeldReadOpen)
 {
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
--- a/src/ferrytray/store/topic_update_test.cpp
+++ b/src/ferrytray/store/topic_update_test.cpp
@@ -1,4 +1,4 @@
-// One host follows a topic through another one.
+// Following a topic through another host.
 #include "ferrytray/store/topic_follower.hpp"
 
 #include "tests/support/fake_record_log.hpp" // for FakeRecordLog
@@ -32,7 +32,7 @@
   void setup() override
   {
     m_log.m_snapshots.push_back(store::Snapshot{ 5, { RecordOf(3, "a", "1") } });
-    m_log.m_hang = true; // its own reads are not answered
+    m_log.m_hang = true; // the log answers no reads of this host
     m_log.m_onHung = [] {};
     store::FollowOptions options;
     options.m_topic = "t";
@@ -96,7 +96,7 @@
   old.m_age = 200ms;
   Receive(old);
   store::TopicUpdate gap = MakeUpdate(9, { RecordOf(8, "a", "3") });
-  gap.m_from = 8; // what was told before that is missing
+  gap.m_from = 8; // the records before that are missing
   Receive(gap);
   STRCMP_EQUAL("", m_events.c_str());
   LONGS_EQUAL(5, m_follower->Cursor().m_next);
@@ -132,15 +132,15 @@
   CHECK(m_follower->UpdateSince({ "t", 4 }, base::MonotonicNow())->m_unavailable);
 }
 
-// Load: the log turns some hosts away and resets or silences connections of others on the way.
-// News count for most of the bound, so there is no time left for a read that is held open.
+// The log rejects some hosts, and connections of others are reset or silently dropped. Updates are
+// trusted for most of the bound on the delay, so that no time is left for a held read.
 TEST(TopicUpdate, TheFirstReadAfterUpdatesEndIsNotHeldOpen)
 {
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
   store::FollowOptions options;
   options.m_topic = "t";
   options.m_wait = 20s;
-  options.m_shortWaitPeriod = 10ms; // over by the time that news end
+  options.m_shortWaitPeriod = 10ms; // over by the time that updates end
   store::FollowEvents events;
   events.m_onRecord = [](const store::Record&) { return true; };
   const auto follower =
@@ -168,8 +168,8 @@
   LONGS_EQUAL(1, tail.Since(14)->size());
   CHECK_FALSE(tail.Since(11).has_value());
   tail.Add(RecordOf(15, "k", std::string(100, 'v')));
-  CHECK_FALSE(tail.Since(15).has_value()); // too large to be passed on
-  // A host that has lost the log could not read it elsewhere.
+  CHECK_FALSE(tail.Since(15).has_value()); // too large to be relayed
+  // A host that cannot reach the log gets it anyway.
   LONGS_EQUAL(1, tail.Since(15, store::RelayLimit::Unbounded)->size());
 }
 
@@ -180,9 +180,9 @@
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "down"));
   m_log.m_batches.push_back(store::Batch{ 6, {} });
   CHECK_FALSE(m_follower->UpdateSince({ "t", 6 }, base::MonotonicNow())->m_unavailable);
-  m_follower->OnRelayEnded(); // reads, and fails
+  m_follower->OnRelayEnded(); // reads the log, which fails
   CHECK(m_follower->UpdateSince({ "t", 6 }, base::MonotonicNow())->m_unavailable);
-  m_loop.Run(); // reads again; the fake ends the loop when it has no more answers
+  m_loop.Run(); // reads again; the fake stops the loop when it has no more replies
   CHECK_FALSE(m_follower->UpdateSince({ "t", 6 }, base::MonotonicNow())->m_unavailable);
 }
 
@@ -194,7 +194,7 @@
   LONGS_EQUAL(2, update->m_records.size());
   STRCMP_EQUAL("b", update->m_records[1].m_key.c_str());
   LONGS_EQUAL(9, update->m_end);
-  // Whoever takes these has followed the topic to its end.
+  // The cursor moves to the end of the topic nevertheless.
   LONGS_EQUAL(9, m_follower->Cursor().m_next);
   LONGS_EQUAL(0,
               m_follower->UpdateSince({ "t", 9, false }, base::MonotonicNow())->m_records.size());
@@ -202,7 +202,7 @@
 
 TEST(TopicUpdate, ABusyTopicIsRelayedIfFewRecordsHaveNewContent)
 {
-  // 2,500 heartbeats a second of 3,000 endpoints, of which a few tell something.
+  // 2,500 heartbeats a second of 3,000 endpoints, of which a few carry something new.
   constexpr store::Offset kHeartbeats = 5'000;
   std::vector<store::Record> records;
   for (store::Offset offset = 5; offset < 5 + kHeartbeats; ++offset) {
