--- a/include/ferrytray/fleet/configuration.hpp
+++ b/include/ferrytray/fleet/configuration.hpp
@@ -34,15 +34,15 @@
   std::uint32_t m_priority = 0;     ///< 0 is most urgent
 
   /// @brief Whether a request may be run again after it may have run.
-  [[nodiscard]] bool Repeatable() const { return m_streaming ? m_resumable : m_idempotent; }
+  [[nodiscard]] bool IsRepeatable() const { return m_streaming ? m_resumable : m_idempotent; }
 };
 
 /// @brief What the engines of a service can do.
 struct EngineTraits
 {
-  std::uint32_t m_slots = 1;    ///< requests that run at once
-  std::uint64_t m_kvTokens = 0; ///< memory for running requests and cached prompts
-  double m_kvBytesPerToken = 0; ///< on the links
+  std::uint32_t m_slots = 1;            ///< requests that run at once
+  std::uint64_t m_kvCapacityTokens = 0; ///< memory for running requests and cached prompts
+  double m_kvBytesPerToken = 0;         ///< on the links
   std::vector<std::string> m_models;
 };
 
@@ -51,16 +51,16 @@
 {
   std::string m_address; ///< IP:PORT
   std::string m_zone;
-  std::uint64_t m_tokens = 0; ///< room
-  double m_linkMegabits = 0;  ///< a second
-  bool m_freesNothingItself = false;
+  std::uint64_t m_capacityTokens = 0; ///< room
+  double m_linkMegabitsPerSecond = 0; ///< a second
+  bool m_managed = false;
 };
 
 /// @brief What an endpoint bears for a while after its start.
 struct ColdTraits
 {
-  base::Duration m_for{}; ///< after a start
-  double m_perSecond = 0; ///< requests that it bears meanwhile, from all hosts together
+  base::Duration m_duration{};    ///< after a start
+  double m_requestsPerSecond = 0; ///< requests that it bears meanwhile, from all hosts together
 };
 
 /// @brief A group of like endpoints.
--- a/include/ferrytray/fleet/directory.hpp
+++ b/include/ferrytray/fleet/directory.hpp
@@ -15,23 +15,23 @@
 using WeightVersion = std::uint32_t;
 
 /// @brief Milliseconds since the Unix epoch at which an endpoint started; zero: not told.
-using BirthTime = std::uint64_t;
+using StartTime = std::uint64_t;
 
 /// @brief The name of one life of an endpoint: an id may come back with a later start.
-[[nodiscard]] std::string IncarnationOf(const std::string& aId, BirthTime aBorn);
+[[nodiscard]] std::string IncarnationOf(const std::string& aId, StartTime aStartTime);
 
 /// @brief One incarnation of an endpoint, as the directory lists it.
 struct Endpoint
 {
   std::string m_id; ///< what the directory lists it under and it calls itself
-  BirthTime m_born = 0;
+  StartTime m_startTime = 0;
   std::string m_incarnation; ///< of id and birth; never used again
   std::string m_service;
   std::string m_address; ///< IP:PORT; other incarnations may have it later
   std::string m_zone;
   std::uint32_t m_slots = 1;
   bool m_leaving = false;
-  base::Duration m_coldFor{}; ///< it said that it stays cold for so long
+  base::Duration m_coldDuration{}; ///< it said that it stays cold for so long
   /// By model, as far as known; empty for plain services. What requests name.
   std::map<std::string, WeightVersion> m_weights;
   /// By model, seen in entries or replies; never goes back. What roll-outs go by.
@@ -47,7 +47,7 @@
   base::Duration m_returnWindow = std::chrono::milliseconds(2000);
   /// One that is listed so long after another of its service and address has taken its place. Of
   /// two that are read together nobody knows which one is newer.
-  base::Duration m_replacesAfter = std::chrono::milliseconds(300);
+  base::Duration m_replacementDelay = std::chrono::milliseconds(300);
 };
 
 /// @brief The endpoints that may be used. Pure: it is told what was read, and when.
@@ -67,15 +67,15 @@
   /// @brief An id's entry was seen to be removed.
   void Remove(const std::string& aId, base::TimePoint aNow);
   /// @brief The whole list of ids was read; those that are not in it have been removed.
-  void KeepOnly(const std::set<std::string>& aListed, base::TimePoint aNow);
+  void RemoveUnlisted(const std::set<std::string>& aListed, base::TimePoint aNow);
   /// @brief The source answers again after it did not.
-  void OnSourceBack(base::TimePoint aNow) { m_sourceBackAt = aNow; }
+  void OnSourceRecovered(base::TimePoint aNow) { m_sourceRecoveredAt = aNow; }
   /// @brief The endpoint or its address was found to be another incarnation's.
   void MarkGone(const std::string& aIncarnation);
   /// @brief Newer weights were seen in a reply than the entry tells.
-  void NoteWeights(const std::string& aIncarnation,
-                   const std::string& aModel,
-                   WeightVersion aVersion);
+  void NoteProvenWeights(const std::string& aIncarnation,
+                         const std::string& aModel,
+                         WeightVersion aVersion);
   /// @brief It was ordered to load these and should have them by now: requests name them, but they
   /// prove nothing.
   void NoteExpectedWeights(const std::string& aIncarnation,
@@ -86,10 +86,10 @@
   /// those in between, each once until there is proof or all were wrong.
   /// @param aNamed what the request named
   /// @param aNewest the newest that the operators have named
-  void NoteOtherWeights(const std::string& aIncarnation,
-                        const std::string& aModel,
-                        WeightVersion aNamed,
-                        WeightVersion aNewest);
+  void NoteWeightMismatch(const std::string& aIncarnation,
+                          const std::string& aModel,
+                          WeightVersion aNamed,
+                          WeightVersion aNewest);
   /// @brief Operators want nothing more sent to an availability zone's endpoints, or take that
   /// back.
   /// @return whether that is news
@@ -111,10 +111,10 @@
   struct Entry
   {
     Endpoint m_endpoint;
-    base::TimePoint m_since;                 ///< it is listed
-    std::optional<base::TimePoint> m_goneAt; ///< missing; dropped then unless it comes back
+    base::TimePoint m_listedSince;             ///< it is listed
+    std::optional<base::TimePoint> m_removeAt; ///< missing; dropped then unless it comes back
     /// By model: guesses that it has refused since its weights were last known.
-    std::map<std::string, std::set<WeightVersion>> m_refused;
+    std::map<std::string, std::set<WeightVersion>> m_refusedGuesses;
   };
 
   [[nodiscard]] static WeightVersion Guess(const std::set<WeightVersion>& aRefused,
@@ -126,13 +126,13 @@
   void RemoveIncarnation(const std::string& aIncarnation, base::TimePoint aNow);
 
   DirectoryOptions m_options;
-  std::optional<base::TimePoint> m_sourceBackAt;
-  std::map<std::string, Entry> m_entries;         ///< by incarnation
-  std::map<std::string, std::string> m_current;   ///< by id: its last known incarnation
-  std::map<std::string, BirthTime> m_lastBirths;  ///< by id
-  std::map<std::string, std::string> m_atAddress; ///< the incarnation listed there last
-  std::set<std::string> m_evacuated;              ///< availability zones
-  std::set<std::string> m_left;                   ///< incarnations that never come back
+  std::optional<base::TimePoint> m_sourceRecoveredAt;
+  std::map<std::string, Entry> m_entries;                    ///< by incarnation
+  std::map<std::string, std::string> m_currentById;          ///< by id: its last known incarnation
+  std::map<std::string, StartTime> m_lastStartTimes;         ///< by id
+  std::map<std::string, std::string> m_incarnationByAddress; ///< the incarnation listed there last
+  std::set<std::string> m_evacuated;                         ///< availability zones
+  std::set<std::string> m_gone;                              ///< incarnations that never come back
 };
 
 } // namespace ferrytray::fleet
--- a/include/ferrytray/fleet/named_weights.hpp
+++ b/include/ferrytray/fleet/named_weights.hpp
@@ -12,12 +12,12 @@
 ///
 /// A roll-out brings engines to new weights; one that is late must not make requests begin on
 /// weights that should be gone by then.
-class NamedWeightsLog
+class NamedWeightsHistory
 {
 public:
-  /// @param aDue for so long after new weights were named, requests may begin on older ones
-  explicit NamedWeightsLog(base::Duration aDue)
-    : m_due(aDue)
+  /// @param aGracePeriod for so long after new weights were named, requests may begin on older ones
+  explicit NamedWeightsHistory(base::Duration aGracePeriod)
+    : m_gracePeriod(aGracePeriod)
   {
   }
 
@@ -27,20 +27,20 @@
   }
 
   /// @brief The oldest weights that a request may still begin on; zero: any.
-  [[nodiscard]] WeightVersion Oldest(const std::string& aModel, base::TimePoint aNow) const
+  [[nodiscard]] WeightVersion OldestAllowed(const std::string& aModel, base::TimePoint aNow) const
   {
     const auto model = m_named.find(aModel);
     WeightVersion oldest = 0;
     if (model != m_named.end()) {
       for (const auto& [version, namedAt] : model->second) {
-        oldest = aNow >= namedAt + m_due ? version : oldest;
+        oldest = aNow >= namedAt + m_gracePeriod ? version : oldest;
       }
     }
     return oldest;
   }
 
 private:
-  base::Duration m_due;
+  base::Duration m_gracePeriod;
   std::map<std::string, std::map<WeightVersion, base::TimePoint>> m_named; ///< by model
 };
 
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -13,7 +13,7 @@
 #include "ferrytray/cache/part_planner.hpp"        // for PartPlanner, Stores
 #include "ferrytray/fleet/configuration_index.hpp" // for ConfigurationPtr
 #include "ferrytray/fleet/directory.hpp"           // for Directory
-#include "ferrytray/fleet/named_weights.hpp"       // for NamedWeightsLog
+#include "ferrytray/fleet/named_weights.hpp"       // for NamedWeightsHistory
 #include "ferrytray/limits/admission_limit.hpp"    // for AdmissionLimit
 #include "ferrytray/limits/retry_window.hpp"       // for RetryWindow
 #include "ferrytray/net/http_client.hpp"           // for HttpClient
@@ -120,7 +120,7 @@
   store::UnreadableRecords m_unreadable{ &m_metrics };
   std::mt19937_64 m_random{ std::random_device{}() };
   std::map<std::string, fleet::WeightVersion> m_wanted; ///< newest named weights, by model
-  fleet::NamedWeightsLog m_named;                       ///< when those were named
+  fleet::NamedWeightsHistory m_named;                   ///< when those were named
   std::optional<base::TimePoint> m_lastContact;         ///< with the record log
   /// Whatever operators had said by then is known here: the read of their topic that last ended was
   /// begun then, by this host or by the one that passes its records on.
--- a/src/ferrytray/fleet/configuration_index_test.cpp
+++ b/src/ferrytray/fleet/configuration_index_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-fleet::Route RouteOf(const std::string& aName, const std::string& aPrefix)
+fleet::Route MakeRoute(const std::string& aName, const std::string& aPrefix)
 {
   fleet::Route route;
   route.m_name = aName;
@@ -19,10 +19,10 @@
 
 TEST_GROUP(ConfigurationIndex){};
 
-TEST(ConfigurationIndex, TheLongestPrefixOfTheHostNameWins)
+TEST(ConfigurationIndex, FindRouteReturnsTheLongestPrefixOfTheHostName)
 {
   fleet::Configuration configuration;
-  configuration.m_routes = { RouteOf("short", "/a/"), RouteOf("long", "/a/b/") };
+  configuration.m_routes = { MakeRoute("short", "/a/"), MakeRoute("long", "/a/b/") };
   const fleet::ConfigurationIndex index(std::move(configuration));
   STRCMP_EQUAL("long", index.FindRoute("host.example", "/a/b/c")->m_name.c_str());
   STRCMP_EQUAL("short", index.FindRoute("host.example", "/a/bc")->m_name.c_str());
@@ -30,7 +30,7 @@
   POINTERS_EQUAL(nullptr, index.FindRoute("other.example", "/a/b/"));
 }
 
-TEST(ConfigurationIndex, AKeyLeadsToItsAccountOnly)
+TEST(ConfigurationIndex, FindAccountReturnsTheOwnerOfTheKey)
 {
   fleet::Configuration configuration;
   configuration.m_accounts = { { "lab", { "k1", "k2" }, false, {} },
--- a/src/ferrytray/fleet/directory.cpp
+++ b/src/ferrytray/fleet/directory.cpp
@@ -5,19 +5,19 @@
 
 namespace ferrytray::fleet {
 
-std::string IncarnationOf(const std::string& aId, BirthTime aBorn)
+std::string IncarnationOf(const std::string& aId, StartTime aStartTime)
 {
-  return aBorn == 0 ? aId : aId + "/" + std::to_string(aBorn);
+  return aStartTime == 0 ? aId : aId + "/" + std::to_string(aStartTime);
 }
 
 void Directory::Upsert(Endpoint aEndpoint, base::TimePoint aNow)
 {
-  BirthTime& lastBirth = m_lastBirths[aEndpoint.m_id];
-  if (aEndpoint.m_born < lastBirth || m_left.contains(aEndpoint.m_incarnation)) {
+  StartTime& lastStartTime = m_lastStartTimes[aEndpoint.m_id];
+  if (aEndpoint.m_startTime < lastStartTime || m_gone.contains(aEndpoint.m_incarnation)) {
     return;
   }
-  lastBirth = aEndpoint.m_born;
-  std::string& current = m_current[aEndpoint.m_id];
+  lastStartTime = aEndpoint.m_startTime;
+  std::string& current = m_currentById[aEndpoint.m_id];
   if (!current.empty() && current != aEndpoint.m_incarnation) {
     MarkGone(current);
   }
@@ -25,47 +25,47 @@
   const auto [found, isNew] = m_entries.try_emplace(aEndpoint.m_incarnation);
   Entry& entry = found->second;
   if (isNew) {
-    entry.m_since = aNow;
+    entry.m_listedSince = aNow;
     MarkReplaced(aEndpoint, aNow);
   }
   const bool wasLeaving = entry.m_endpoint.m_leaving;
-  std::map<std::string, WeightVersion> believed = std::move(entry.m_endpoint.m_weights);
-  std::map<std::string, WeightVersion> seen = std::move(entry.m_endpoint.m_provenWeights);
+  std::map<std::string, WeightVersion> assumed = std::move(entry.m_endpoint.m_weights);
+  std::map<std::string, WeightVersion> provenWeights = std::move(entry.m_endpoint.m_provenWeights);
   entry.m_endpoint = std::move(aEndpoint);
   entry.m_endpoint.m_leaving = entry.m_endpoint.m_leaving || wasLeaving;
-  entry.m_endpoint.m_provenWeights = std::move(seen);
+  entry.m_endpoint.m_provenWeights = std::move(provenWeights);
   for (auto& [model, version] : entry.m_endpoint.m_weights) {
     WeightVersion& proven = entry.m_endpoint.m_provenWeights[model];
-    const bool news = version > proven;
+    const bool isNewer = version > proven;
     proven = std::max(proven, version);
     // Entries lag: one that brings no news does not overrule a later guess.
-    const auto before = believed.find(model);
-    version = news || before == believed.end() ? proven : std::max(proven, before->second);
+    const auto previous = assumed.find(model);
+    version = isNewer || previous == assumed.end() ? proven : std::max(proven, previous->second);
   }
-  entry.m_goneAt.reset();
+  entry.m_removeAt.reset();
 }
 
 void Directory::MarkReplaced(const Endpoint& aNew, base::TimePoint aNow)
 {
-  std::string& atAddress = m_atAddress[aNew.m_address];
-  const auto other = m_entries.find(atAddress);
+  std::string& listedIncarnation = m_incarnationByAddress[aNew.m_address];
+  const auto other = m_entries.find(listedIncarnation);
   if (other != m_entries.end()) {
-    const bool earlier = other->second.m_since + m_options.m_replacesAfter <= aNow;
+    const bool listedBefore = other->second.m_listedSince + m_options.m_replacementDelay <= aNow;
     const bool sameService = other->second.m_endpoint.m_service == aNew.m_service;
     if (!sameService) {
       return;
     }
-    if (earlier) {
-      MarkGone(atAddress);
+    if (listedBefore) {
+      MarkGone(listedIncarnation);
     }
   }
-  atAddress = aNew.m_incarnation;
+  listedIncarnation = aNew.m_incarnation;
 }
 
 void Directory::Remove(const std::string& aId, base::TimePoint aNow)
 {
-  const auto current = m_current.find(aId);
-  if (current != m_current.end()) {
+  const auto current = m_currentById.find(aId);
+  if (current != m_currentById.end()) {
     RemoveIncarnation(current->second, aNow);
   }
 }
@@ -80,19 +80,20 @@
     MarkGone(aIncarnation);
     return;
   }
-  const bool mayReturn = m_sourceBackAt && aNow < *m_sourceBackAt + m_options.m_returnWindow;
+  const bool mayReturn =
+    m_sourceRecoveredAt && aNow < *m_sourceRecoveredAt + m_options.m_returnWindow;
   if (mayReturn) {
-    found->second.m_goneAt = *m_sourceBackAt + m_options.m_returnWindow;
+    found->second.m_removeAt = *m_sourceRecoveredAt + m_options.m_returnWindow;
     return;
   }
   m_entries.erase(found);
 }
 
-void Directory::KeepOnly(const std::set<std::string>& aListed, base::TimePoint aNow)
+void Directory::RemoveUnlisted(const std::set<std::string>& aListed, base::TimePoint aNow)
 {
   std::vector<std::string> missing;
   for (const auto& [incarnation, entry] : m_entries) {
-    if (!aListed.contains(entry.m_endpoint.m_id) && !entry.m_goneAt) {
+    if (!aListed.contains(entry.m_endpoint.m_id) && !entry.m_removeAt) {
       missing.push_back(incarnation);
     }
   }
@@ -104,19 +105,19 @@
 void Directory::MarkGone(const std::string& aIncarnation)
 {
   m_entries.erase(aIncarnation);
-  m_left.insert(aIncarnation);
+  m_gone.insert(aIncarnation);
 }
 
-void Directory::NoteWeights(const std::string& aIncarnation,
-                            const std::string& aModel,
-                            WeightVersion aVersion)
+void Directory::NoteProvenWeights(const std::string& aIncarnation,
+                                  const std::string& aModel,
+                                  WeightVersion aVersion)
 {
   const auto found = m_entries.find(aIncarnation);
   if (found != m_entries.end()) {
     WeightVersion& proven = found->second.m_endpoint.m_provenWeights[aModel];
     proven = std::max(proven, aVersion);
     found->second.m_endpoint.m_weights[aModel] = proven;
-    found->second.m_refused.erase(aModel);
+    found->second.m_refusedGuesses.erase(aModel);
   }
 }
 
@@ -126,33 +127,33 @@
 {
   const auto found = m_entries.find(aIncarnation);
   if (found != m_entries.end()) {
-    WeightVersion& believed = found->second.m_endpoint.m_weights[aModel];
-    believed = std::max(believed, aVersion);
-    found->second.m_refused.erase(aModel);
+    WeightVersion& assumed = found->second.m_endpoint.m_weights[aModel];
+    assumed = std::max(assumed, aVersion);
+    found->second.m_refusedGuesses.erase(aModel);
   }
 }
 
-void Directory::NoteOtherWeights(const std::string& aIncarnation,
-                                 const std::string& aModel,
-                                 WeightVersion aNamed,
-                                 WeightVersion aNewest)
+void Directory::NoteWeightMismatch(const std::string& aIncarnation,
+                                   const std::string& aModel,
+                                   WeightVersion aNamed,
+                                   WeightVersion aNewest)
 {
   const auto found = m_entries.find(aIncarnation);
   if (found == m_entries.end()) {
     return;
   }
-  WeightVersion& believed = found->second.m_endpoint.m_weights[aModel];
-  if (believed != aNamed) {
+  WeightVersion& assumed = found->second.m_endpoint.m_weights[aModel];
+  if (assumed != aNamed) {
     return; // learnt since that request was sent
   }
-  std::set<WeightVersion>& refused = found->second.m_refused[aModel];
+  std::set<WeightVersion>& refused = found->second.m_refusedGuesses[aModel];
   refused.insert(aNamed);
   const WeightVersion proven = found->second.m_endpoint.m_provenWeights[aModel];
   const WeightVersion newest = std::max(aNewest, proven);
   if (refused.size() > newest - proven) {
     refused = { aNamed }; // all were wrong: it has changed meanwhile
   }
-  believed = Guess(refused, proven, newest);
+  assumed = Guess(refused, proven, newest);
 }
 
 WeightVersion Directory::Guess(const std::set<WeightVersion>& aRefused,
@@ -177,7 +178,7 @@
 void Directory::Expire(base::TimePoint aNow)
 {
   std::erase_if(m_entries, [&](const auto& aPair) {
-    return aPair.second.m_goneAt && *aPair.second.m_goneAt <= aNow;
+    return aPair.second.m_removeAt && *aPair.second.m_removeAt <= aNow;
   });
 }
 
@@ -212,8 +213,8 @@
 
 const Endpoint* Directory::FindById(const std::string& aId) const
 {
-  const auto current = m_current.find(aId);
-  return current == m_current.end() ? nullptr : Find(current->second);
+  const auto current = m_currentById.find(aId);
+  return current == m_currentById.end() ? nullptr : Find(current->second);
 }
 
 } // namespace ferrytray::fleet
--- a/src/ferrytray/fleet/directory_test.cpp
+++ b/src/ferrytray/fleet/directory_test.cpp
@@ -9,7 +9,7 @@
 
 const base::TimePoint kStart = base::TimePoint(base::Duration(1'000'000));
 
-fleet::Endpoint Engine(const std::string& aName, fleet::WeightVersion aVersion = 1)
+fleet::Endpoint MakeEngine(const std::string& aName, fleet::WeightVersion aVersion = 1)
 {
   fleet::Endpoint endpoint;
   endpoint.m_id = aName;
@@ -25,7 +25,7 @@
 TEST_GROUP(Directory)
 {
   fleet::Directory m_directory;
-  fleet::WeightVersion Believed(const char* aName) const
+  fleet::WeightVersion AssumedWeights(const char* aName) const
   {
     return m_directory.Find(aName)->m_weights.at("model");
   }
@@ -33,196 +33,198 @@
 
 TEST(Directory, LeavingIsFinalForAnIncarnation)
 {
-  fleet::Endpoint leaving = Engine("a");
+  fleet::Endpoint leaving = MakeEngine("a");
   leaving.m_leaving = true;
-  m_directory.Upsert(Engine("a"), kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
   m_directory.Upsert(leaving, kStart);
-  m_directory.Upsert(Engine("a"), kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
   CHECK(m_directory.Usable("engines").empty());
   m_directory.Remove("a", kStart);
-  m_directory.Upsert(Engine("a"), kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
   POINTERS_EQUAL(nullptr, m_directory.Find("a"));
 }
 
-TEST(Directory, AnEntryThatLapsedWhileTheSourceWasAwayMayComeBack)
+TEST(Directory, ARemovedEntryMayReturnWithinTheWindowAfterAnOutage)
 {
-  m_directory.Upsert(Engine("a"), kStart);
-  m_directory.OnSourceBack(kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
+  m_directory.OnSourceRecovered(kStart);
   m_directory.Remove("a", kStart + 100ms);
   LONGS_EQUAL(1, m_directory.Usable("engines").size());
-  m_directory.Upsert(Engine("a"), kStart + 1s);
+  m_directory.Upsert(MakeEngine("a"), kStart + 1s);
   m_directory.Expire(kStart + 5s);
   LONGS_EQUAL(1, m_directory.Usable("engines").size());
 }
 
-TEST(Directory, AnEntryThatIsStillMissingAfterTheWindowIsGone)
+TEST(Directory, ARemovedEntryIsDroppedAfterTheReturnWindow)
 {
-  m_directory.Upsert(Engine("a"), kStart);
-  m_directory.OnSourceBack(kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
+  m_directory.OnSourceRecovered(kStart);
   m_directory.Remove("a", kStart + 100ms);
   m_directory.Expire(kStart + 2s);
   CHECK(m_directory.Usable("engines").empty());
 }
 
-TEST(Directory, ARemovalWithTheSourceInTouchHoldsAtOnce)
+TEST(Directory, ARemovalWithoutARecentOutageIsImmediate)
 {
-  m_directory.Upsert(Engine("a"), kStart);
-  m_directory.OnSourceBack(kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
+  m_directory.OnSourceRecovered(kStart);
   m_directory.Remove("a", kStart + 3s);
   CHECK(m_directory.Usable("engines").empty());
 }
 
-TEST(Directory, AReloadRemovesWhatItDoesNotList)
+TEST(Directory, RemoveUnlistedDropsMissingIds)
 {
-  m_directory.Upsert(Engine("a"), kStart);
-  m_directory.Upsert(Engine("b"), kStart);
-  m_directory.KeepOnly({ "b" }, kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
+  m_directory.Upsert(MakeEngine("b"), kStart);
+  m_directory.RemoveUnlisted({ "b" }, kStart);
   POINTERS_EQUAL(nullptr, m_directory.Find("a"));
   CHECK(m_directory.Find("b") != nullptr);
 }
 
-TEST(Directory, WeightsNeverGoBackWithinAnIncarnation)
+TEST(Directory, WeightVersionsNeverDecreaseWithinAnIncarnation)
 {
-  m_directory.Upsert(Engine("a", 1), kStart);
-  m_directory.NoteWeights("a", "model", 3);
-  m_directory.Upsert(Engine("a", 2), kStart);
-  LONGS_EQUAL(3, Believed("a"));
+  m_directory.Upsert(MakeEngine("a", 1), kStart);
+  m_directory.NoteProvenWeights("a", "model", 3);
+  m_directory.Upsert(MakeEngine("a", 2), kStart);
+  LONGS_EQUAL(3, AssumedWeights("a"));
 }
 
-TEST(Directory, ARefusalForOtherWeightsIsAGuessNotAProof)
+TEST(Directory, AWeightMismatchChangesOnlyTheAssumedVersion)
 {
-  m_directory.Upsert(Engine("a", 1), kStart);
-  m_directory.NoteOtherWeights("a", "model", 1, 3);
-  LONGS_EQUAL(3, Believed("a"));
+  m_directory.Upsert(MakeEngine("a", 1), kStart);
+  m_directory.NoteWeightMismatch("a", "model", 1, 3);
+  LONGS_EQUAL(3, AssumedWeights("a"));
   LONGS_EQUAL(1, m_directory.Find("a")->m_provenWeights.at("model"));
   // The newest was not it either.
-  m_directory.NoteOtherWeights("a", "model", 3, 3);
-  LONGS_EQUAL(2, Believed("a"));
+  m_directory.NoteWeightMismatch("a", "model", 3, 3);
+  LONGS_EQUAL(2, AssumedWeights("a"));
   // A late refusal of a request that named something else changes nothing.
-  m_directory.NoteOtherWeights("a", "model", 1, 3);
-  LONGS_EQUAL(2, Believed("a"));
+  m_directory.NoteWeightMismatch("a", "model", 1, 3);
+  LONGS_EQUAL(2, AssumedWeights("a"));
 }
 
 // Load: whoever announced a load stood still before it gave the order, and newer weights were
 // named.
-TEST(Directory, AnEngineThatDidNotLoadWhatWasAnnouncedIsFoundAgainByItsProvenWeights)
+TEST(Directory, AWeightMismatchFallsBackToTheProvenVersionFirst)
 {
-  m_directory.Upsert(Engine("a", 1), kStart);
+  m_directory.Upsert(MakeEngine("a", 1), kStart);
   m_directory.NoteExpectedWeights("a", "model", 2);
-  LONGS_EQUAL(2, Believed("a"));
-  m_directory.NoteOtherWeights("a", "model", 2, 3);
-  LONGS_EQUAL(1, Believed("a"));
+  LONGS_EQUAL(2, AssumedWeights("a"));
+  m_directory.NoteWeightMismatch("a", "model", 2, 3);
+  LONGS_EQUAL(1, AssumedWeights("a"));
 }
 
-TEST(Directory, WhenAllGuessesWereWrongTheyAreMadeAnew)
+TEST(Directory, GuessingRestartsAfterAllVersionsWereRefused)
 {
-  m_directory.Upsert(Engine("a", 1), kStart);
-  m_directory.NoteOtherWeights("a", "model", 1, 2);
-  LONGS_EQUAL(2, Believed("a"));
-  m_directory.NoteOtherWeights("a", "model", 2, 2);
-  LONGS_EQUAL(1, Believed("a"));
-  m_directory.NoteOtherWeights("a", "model", 1, 2);
-  LONGS_EQUAL(2, Believed("a"));
+  m_directory.Upsert(MakeEngine("a", 1), kStart);
+  m_directory.NoteWeightMismatch("a", "model", 1, 2);
+  LONGS_EQUAL(2, AssumedWeights("a"));
+  m_directory.NoteWeightMismatch("a", "model", 2, 2);
+  LONGS_EQUAL(1, AssumedWeights("a"));
+  m_directory.NoteWeightMismatch("a", "model", 1, 2);
+  LONGS_EQUAL(2, AssumedWeights("a"));
 }
 
-TEST(Directory, ExpectedWeightsProveNothingAndTakeNothingBack)
+TEST(Directory, ExpectedWeightsOnlyRaiseTheAssumedVersion)
 {
-  m_directory.Upsert(Engine("a", 3), kStart);
+  m_directory.Upsert(MakeEngine("a", 3), kStart);
   m_directory.NoteExpectedWeights("a", "model", 2);
-  LONGS_EQUAL(3, Believed("a"));
+  LONGS_EQUAL(3, AssumedWeights("a"));
   m_directory.NoteExpectedWeights("a", "model", 4);
-  LONGS_EQUAL(4, Believed("a"));
+  LONGS_EQUAL(4, AssumedWeights("a"));
   LONGS_EQUAL(3, m_directory.Find("a")->m_provenWeights.at("model"));
 }
 
-TEST(Directory, AnEntryWithoutNewsDoesNotOverruleAGuess)
+TEST(Directory, AnUnchangedEntryDoesNotOverrideAGuess)
 {
-  m_directory.Upsert(Engine("a", 1), kStart);
-  m_directory.NoteOtherWeights("a", "model", 1, 2);
-  m_directory.Upsert(Engine("a", 1), kStart);
-  LONGS_EQUAL(2, Believed("a"));
-  m_directory.Upsert(Engine("a", 2), kStart);
-  LONGS_EQUAL(2, Believed("a"));
+  m_directory.Upsert(MakeEngine("a", 1), kStart);
+  m_directory.NoteWeightMismatch("a", "model", 1, 2);
+  m_directory.Upsert(MakeEngine("a", 1), kStart);
+  LONGS_EQUAL(2, AssumedWeights("a"));
+  m_directory.Upsert(MakeEngine("a", 2), kStart);
+  LONGS_EQUAL(2, AssumedWeights("a"));
 }
 
-TEST(Directory, AnIncarnationWhoseAddressAnotherHasIsGoneForGood)
+TEST(Directory, AnIncarnationMarkedGoneStaysGone)
 {
-  m_directory.Upsert(Engine("a"), kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
   m_directory.MarkGone("a");
-  m_directory.Upsert(Engine("a"), kStart);
+  m_directory.Upsert(MakeEngine("a"), kStart);
   POINTERS_EQUAL(nullptr, m_directory.Find("a"));
 }
 
 namespace {
 
-fleet::Endpoint Born(const std::string& aId, fleet::BirthTime aBorn, fleet::WeightVersion aVersion)
+fleet::Endpoint MakeEngineStartedAt(const std::string& aId,
+                                    fleet::StartTime aStartTime,
+                                    fleet::WeightVersion aVersion)
 {
-  fleet::Endpoint endpoint = Engine(aId, aVersion);
-  endpoint.m_born = aBorn;
-  endpoint.m_incarnation = fleet::IncarnationOf(aId, aBorn);
+  fleet::Endpoint endpoint = MakeEngine(aId, aVersion);
+  endpoint.m_startTime = aStartTime;
+  endpoint.m_incarnation = fleet::IncarnationOf(aId, aStartTime);
   return endpoint;
 }
 
 } // namespace
 
-TEST(Directory, AnIdMayComeBackAndNothingOfItsFormerLifeIsKept)
+TEST(Directory, ARestartedIdKeepsNothingOfItsFormerIncarnation)
 {
-  fleet::Endpoint leaving = Born("a", 10, 5);
+  fleet::Endpoint leaving = MakeEngineStartedAt("a", 10, 5);
   leaving.m_leaving = true;
   m_directory.Upsert(leaving, kStart);
   m_directory.Remove("a", kStart);
-  m_directory.Upsert(Born("a", 20, 3), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 20, 3), kStart);
   LONGS_EQUAL(1, m_directory.Usable("engines").size());
   const fleet::Endpoint* again = m_directory.FindById("a");
-  LONGS_EQUAL(20, again->m_born);
+  LONGS_EQUAL(20, again->m_startTime);
   LONGS_EQUAL(3, again->m_provenWeights.at("model"));
   POINTERS_EQUAL(nullptr, m_directory.Find(fleet::IncarnationOf("a", 10)));
 }
 
-TEST(Directory, AnIdThatStartsAnewWithoutLeavingReplacesItself)
+TEST(Directory, ARestartWithoutLeavingReplacesTheFormerIncarnation)
 {
-  m_directory.Upsert(Born("a", 10, 5), kStart);
-  m_directory.Upsert(Born("a", 20, 3), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 10, 5), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 20, 3), kStart);
   LONGS_EQUAL(1, m_directory.All().size());
   LONGS_EQUAL(3, m_directory.FindById("a")->m_provenWeights.at("model"));
   m_directory.Remove("a", kStart);
   CHECK(m_directory.All().empty());
 }
 
-TEST(Directory, AnEntryOfAnEarlierLifeChangesNothing)
+TEST(Directory, AnEntryOfAnEarlierIncarnationIsIgnored)
 {
-  m_directory.Upsert(Born("a", 20, 3), kStart);
-  m_directory.Upsert(Born("a", 10, 5), kStart);
-  LONGS_EQUAL(20, m_directory.FindById("a")->m_born);
+  m_directory.Upsert(MakeEngineStartedAt("a", 20, 3), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 10, 5), kStart);
+  LONGS_EQUAL(20, m_directory.FindById("a")->m_startTime);
   m_directory.Remove("a", kStart);
-  m_directory.Upsert(Born("a", 10, 5), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 10, 5), kStart);
   POINTERS_EQUAL(nullptr, m_directory.FindById("a"));
 }
 
-TEST(Directory, ALifeThatWasReplacedAtItsAddressStaysGoneAndItsIdMayReturn)
+TEST(Directory, AnIdMayReturnAfterItsIncarnationWasMarkedGone)
 {
-  m_directory.Upsert(Born("a", 10, 1), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 10, 1), kStart);
   m_directory.MarkGone(fleet::IncarnationOf("a", 10));
-  m_directory.Upsert(Born("a", 10, 1), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 10, 1), kStart);
   POINTERS_EQUAL(nullptr, m_directory.FindById("a"));
-  m_directory.Upsert(Born("a", 11, 1), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 11, 1), kStart);
   CHECK(m_directory.FindById("a") != nullptr);
 }
 
-TEST(Directory, AListOfIdsKeepsTheLivesThatTheyHave)
+TEST(Directory, RemoveUnlistedKeepsTheIncarnationsOfListedIds)
 {
-  m_directory.Upsert(Born("a", 10, 1), kStart);
-  m_directory.Upsert(Born("b", 10, 1), kStart);
-  m_directory.KeepOnly({ "a" }, kStart);
+  m_directory.Upsert(MakeEngineStartedAt("a", 10, 1), kStart);
+  m_directory.Upsert(MakeEngineStartedAt("b", 10, 1), kStart);
+  m_directory.RemoveUnlisted({ "a" }, kStart);
   CHECK(m_directory.FindById("a") != nullptr);
   POINTERS_EQUAL(nullptr, m_directory.FindById("b"));
 }
 
-TEST(Directory, AnEvacuatedZoneGetsNothingNewUntilThatIsTakenBack)
+TEST(Directory, EndpointsOfAnEvacuatedZoneAreNotUsable)
 {
-  fleet::Endpoint here = Engine("a");
+  fleet::Endpoint here = MakeEngine("a");
   here.m_zone = "z1";
-  fleet::Endpoint there = Engine("b");
+  fleet::Endpoint there = MakeEngine("b");
   there.m_zone = "z2";
   m_directory.Upsert(here, kStart);
   m_directory.Upsert(there, kStart);
@@ -236,26 +238,26 @@
   CHECK_FALSE(m_directory.SetEvacuated("nowhere", false));
 }
 
-TEST(Directory, WhoeverIsListedLaterAtAnAddressHasTakenItsPlace)
+TEST(Directory, ALaterEntryAtTheSameAddressReplacesTheEarlierOne)
 {
-  m_directory.Upsert(Engine("a"), kStart);
-  m_directory.Upsert(Engine("b"), kStart + 2s);
+  m_directory.Upsert(MakeEngine("a"), kStart);
+  m_directory.Upsert(MakeEngine("b"), kStart + 2s);
   LONGS_EQUAL(1, m_directory.Usable("engines").size());
-  m_directory.Upsert(Engine("a"), kStart + 3s); // a heartbeat that was written late
+  m_directory.Upsert(MakeEngine("a"), kStart + 3s); // a heartbeat that was written late
   STRCMP_EQUAL("b", m_directory.Usable("engines").at(0)->m_id.c_str());
 }
 
-TEST(Directory, OfTwoAtOneAddressThatAreReadTogetherBothAreKept)
+TEST(Directory, EntriesReadTogetherAtOneAddressAreBothKept)
 {
-  m_directory.Upsert(Engine("a"), kStart);
-  m_directory.Upsert(Engine("b"), kStart + 10ms);
+  m_directory.Upsert(MakeEngine("a"), kStart);
+  m_directory.Upsert(MakeEngine("b"), kStart + 10ms);
   LONGS_EQUAL(2, m_directory.Usable("engines").size());
 }
 
-TEST(Directory, AnEntryOfAnotherServiceTakesNobodysPlace)
+TEST(Directory, AnEntryOfAnotherServiceReplacesNone)
 {
-  m_directory.Upsert(Engine("a"), kStart);
-  fleet::Endpoint other = Engine("b");
+  m_directory.Upsert(MakeEngine("a"), kStart);
+  fleet::Endpoint other = MakeEngine("b");
   other.m_service = "unknown";
   m_directory.Upsert(other, kStart + 2s);
   LONGS_EQUAL(1, m_directory.Usable("engines").size());
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -68,8 +68,8 @@
 {
   const fleet::Service* service = m_admitted.m_configuration->FindService(aService);
   return m_request.m_prompt && service != nullptr && service->m_engine &&
-         routing::SizeOf(m_request.m_prompt->m_inputTokens, service->m_engine->m_kvTokens) ==
-           routing::PromptSize::Long;
+         routing::SizeOf(m_request.m_prompt->m_inputTokens,
+                         service->m_engine->m_kvCapacityTokens) == routing::PromptSize::Long;
 }
 
 std::uint32_t CallPlanner::RankOf(const std::string& aService) const
@@ -94,7 +94,7 @@
   call.m_remaining = aLeft;
   call.m_account = m_admitted.m_account == nullptr ? "" : m_admitted.m_account->m_name;
   call.m_resumeAfter = aResumeAfter;
-  call.m_repeatable = m_admitted.m_route->Repeatable();
+  call.m_repeatable = m_admitted.m_route->IsRepeatable();
   call.m_maxIdle = m_core.m_board.MaxIdle(endpoint.m_incarnation);
   if (m_request.m_prompt) {
     call.m_rank = RankOf(endpoint.m_service);
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -38,16 +38,16 @@
   const std::string model(aNeeds.m_model);
   const auto weights = aEndpoint.m_weights.find(model);
   return weights != aEndpoint.m_weights.end() &&
-         weights->second < aCore.m_named.Oldest(model, aNow);
+         weights->second < aCore.m_named.OldestAllowed(model, aNow);
 }
 
 /// A prompt would wait for memory behind this much open work.
 bool IsFull(const fleet::Service* aService, const PromptNeeds& aNeeds, routing::Work aOpen)
 {
-  if (aService == nullptr || !aService->m_engine || aService->m_engine->m_kvTokens == 0) {
+  if (aService == nullptr || !aService->m_engine || aService->m_engine->m_kvCapacityTokens == 0) {
     return false;
   }
-  const std::uint64_t memory = aService->m_engine->m_kvTokens;
+  const std::uint64_t memory = aService->m_engine->m_kvCapacityTokens;
   return !routing::HasRoom(routing::SizeOf(aNeeds.m_tokens, memory), aOpen, memory);
 }
 
--- a/src/ferrytray/relay/cold_engines.cpp
+++ b/src/ferrytray/relay/cold_engines.cpp
@@ -15,8 +15,8 @@
 {
   const RelayOptions& options = aCore.m_options;
   // A bound under what the endpoint itself bears goes first.
-  return std::min(aTraits.m_perSecond,
-                  aTraits.m_perSecond * options.m_coldOvershoot + options.m_coldSlack);
+  return std::min(aTraits.m_requestsPerSecond,
+                  aTraits.m_requestsPerSecond * options.m_coldOvershoot + options.m_coldSlack);
 }
 
 bool MaySendCold(const RelayCore& aCore,
@@ -49,7 +49,7 @@
 void SuspectColdStart(RelayCore& aCore, const fleet::Endpoint& aEndpoint, base::TimePoint aNow)
 {
   if (const fleet::ColdTraits* traits = ColdTraitsOf(aCore, aEndpoint.m_service)) {
-    aCore.m_cold.OnSuspected(aEndpoint.m_incarnation, traits->m_for, aNow);
+    aCore.m_cold.OnSuspected(aEndpoint.m_incarnation, traits->m_duration, aNow);
   }
 }
 
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -216,7 +216,7 @@
 {
   AttemptFacts facts;
   facts.m_end = aEnd;
-  facts.m_repeatable = m_admitted.m_route->Repeatable();
+  facts.m_repeatable = m_admitted.m_route->IsRepeatable();
   facts.m_answerBegan = m_answerBegan;
   facts.m_mayHaveRun = m_mayHaveRun;
   facts.m_forwardable =
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -29,7 +29,7 @@
     m_core.m_board.OnIdleTimeout(m_attempt->m_endpoint, *aHead.m_idleTimeout);
   }
   if (m_request.m_prompt && aHead.m_weights) {
-    m_core.m_directory.NoteWeights(
+    m_core.m_directory.NoteProvenWeights(
       m_attempt->m_endpoint, m_request.m_prompt->m_model, *aHead.m_weights);
   }
   const bool otherWeights =
@@ -39,7 +39,7 @@
     const std::string& model = m_request.m_prompt->m_model;
     const auto wanted = m_core.m_wanted.find(model);
     const fleet::WeightVersion newest = wanted == m_core.m_wanted.end() ? 0 : wanted->second;
-    m_core.m_directory.NoteOtherWeights(
+    m_core.m_directory.NoteWeightMismatch(
       m_attempt->m_endpoint, model, *m_attempt->m_weights, newest);
   }
   const bool replaced = aHead.m_misdirected && !aHead.m_endpointId.empty() &&
--- a/src/ferrytray/relay/exchange_test.cpp
+++ b/src/ferrytray/relay/exchange_test.cpp
@@ -200,7 +200,7 @@
 TEST(Exchange, OnceNewWeightsAreDueEnginesOnOlderOnesGetNothing)
 {
   const base::TimePoint now = base::MonotonicNow();
-  m_core.m_directory.NoteWeights("b", "m", 2);
+  m_core.m_directory.NoteProvenWeights("b", "m", 2);
   m_core.m_named.OnNamed("m", 2, now - 1h);
   for (int i = 0; i < 20; ++i) {
     Ask("/stream/x", "k", "m");
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -89,7 +89,7 @@
                                              aRequest.m_unreachable.end());
   const fleet::Service* service = m_core.m_configuration->FindService(aRequest.m_service);
   const std::uint64_t memory =
-    service == nullptr || !service->m_engine ? 0 : service->m_engine->m_kvTokens;
+    service == nullptr || !service->m_engine ? 0 : service->m_engine->m_kvCapacityTokens;
   const PromptNeeds needs{ aRequest.m_model, aRequest.m_tokens };
   const Candidates candidates = CandidatesFor(
     m_core, aRequest.m_service, service, needs, {}, routing::ColdUse::Assigned, "", now);
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -49,7 +49,7 @@
     return OnEndpointRecord(aRecord);
   };
   onEndpoints.m_onSnapshot = [this](const std::set<std::string>& aListed) {
-    m_core.m_directory.KeepOnly(aListed, base::MonotonicNow());
+    m_core.m_directory.RemoveUnlisted(aListed, base::MonotonicNow());
     m_endpointsLoaded = true;
   };
   m_endpoints = std::make_shared<store::TopicFollower>(
@@ -76,7 +76,7 @@
       return;
     }
     if (isDirectory) {
-      m_core.m_directory.OnSourceBack(now);
+      m_core.m_directory.OnSourceRecovered(now);
       m_operators->RestartRead();
     }
     telemetry::LogLine("dependency_back").Add("dependency", "record_log").Add("topic", aTopic);
@@ -225,7 +225,8 @@
 {
   fleet::Endpoint told = aEndpoint;
   // A cold endpoint tells with each heartbeat that less time is left.
-  told.m_coldFor = told.m_coldFor > base::Duration::zero() ? base::Duration(1) : base::Duration();
+  told.m_coldDuration =
+    told.m_coldDuration > base::Duration::zero() ? base::Duration(1) : base::Duration();
   fleet::Endpoint& before = m_told[aKey];
   const bool news = before != told;
   before = std::move(told);
@@ -267,7 +268,7 @@
   }
   const fleet::Endpoint* before = m_core.m_directory.FindById(aRecord.m_key);
   if (ColdTraitsOf(m_core, read->m_service) != nullptr) {
-    m_core.m_cold.OnTold(read->m_incarnation, read->m_coldFor, before == nullptr, now);
+    m_core.m_cold.OnTold(read->m_incarnation, read->m_coldDuration, before == nullptr, now);
   }
   const std::string former = before == nullptr ? "" : before->m_incarnation;
   m_core.m_directory.Upsert(std::move(*read), now);
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -49,8 +49,8 @@
       return base::Fail(base::ErrorCode::PlatformMalformed, "no entry");
     }
     fleet::Endpoint endpoint = support::EndpointOf(std::string(aKey));
-    endpoint.m_born = std::stoul(std::string(aValue.substr(0, space)));
-    endpoint.m_incarnation = fleet::IncarnationOf(endpoint.m_id, endpoint.m_born);
+    endpoint.m_startTime = std::stoul(std::string(aValue.substr(0, space)));
+    endpoint.m_incarnation = fleet::IncarnationOf(endpoint.m_id, endpoint.m_startTime);
     endpoint.m_zone = aValue.substr(space + 1);
     endpoint.m_service = endpoint.m_zone == "elsewhere" ? "unknown" : "s";
     return endpoint;
@@ -187,7 +187,7 @@
   Read();
   Hear("endpoints", { { 1, "e", "2 elsewhere", false } });
   STRCMP_EQUAL("s", m_core.m_directory.FindById("e")->m_service.c_str());
-  LONGS_EQUAL(1, m_core.m_directory.FindById("e")->m_born);
+  LONGS_EQUAL(1, m_core.m_directory.FindById("e")->m_startTime);
   Hear("endpoints", { { 2, "f", "1 elsewhere", false } });
   CHECK(m_core.m_directory.FindById("f") != nullptr); // its configuration may come later
   LONGS_EQUAL(1, m_core.m_directory.Usable("s").size());
--- a/src/ferrytray/relay/store_watch.cpp
+++ b/src/ferrytray/relay/store_watch.cpp
@@ -7,8 +7,8 @@
   std::map<std::string, cache::StoreTraits> named;
   for (const fleet::Service& service : m_core.m_configuration->Get().m_services) {
     if (service.m_kvStore) {
-      named[service.m_kvStore->m_address] = { service.m_kvStore->m_tokens,
-                                              service.m_kvStore->m_linkMegabits };
+      named[service.m_kvStore->m_address] = { service.m_kvStore->m_capacityTokens,
+                                              service.m_kvStore->m_linkMegabitsPerSecond };
     }
   }
   std::erase_if(m_core.m_stores, [&](const auto& aPair) {
--- a/src/ferrytray/rollout/rollout_driver_test.cpp
+++ b/src/ferrytray/rollout/rollout_driver_test.cpp
@@ -190,7 +190,7 @@
   }
   m_loop.RunFor(50ms); // it is seen to be busy
   LONGS_EQUAL(1, m_engines.m_orders.size());
-  m_directory.NoteWeights(m_engines.m_orders[0].first, "m", 2); // a reply proves it
+  m_directory.NoteProvenWeights(m_engines.m_orders[0].first, "m", 2); // a reply proves it
   for (int i = 0; i < 400 && m_engines.m_orders.size() < 2; ++i) {
     m_loop.RunFor(5ms);
   }
--- a/src/ferrytray/rollout/rollout_orders.cpp
+++ b/src/ferrytray/rollout/rollout_orders.cpp
@@ -162,7 +162,7 @@
           .Add("orders_taken", aState->m_ordersTaken);
       }
       if (aState->m_weights) {
-        m_directory.NoteWeights(aIncarnation, aModel, *aState->m_weights);
+        m_directory.NoteProvenWeights(aIncarnation, aModel, *aState->m_weights);
       }
       NoteLoad(aIncarnation, aModel, base::MonotonicNow());
     });
