--- a/include/ferrytray/fleet/configuration_index.hpp
+++ b/include/ferrytray/fleet/configuration_index.hpp
@@ -10,7 +10,7 @@
 
 namespace ferrytray::fleet {
 
-/// @brief Look-ups in one version of the configuration.
+/// @brief Index for lookups in one version of the configuration.
 class ConfigurationIndex
 {
 public:
@@ -19,15 +19,17 @@
   ConfigurationIndex& operator=(const ConfigurationIndex&) = delete;
 
   [[nodiscard]] const Configuration& Get() const { return m_configuration; }
-  /// @brief The route of that host name with the longest prefix of the path; null if none.
+  /// @brief Returns the route of that host name with the longest matching path prefix; null if
+  /// none.
   [[nodiscard]] const Route* FindRoute(std::string_view aHostName, std::string_view aPath) const;
-  /// @brief The account that holds a key; null if none does.
+  /// @brief Returns the account that owns an API key; null if none.
   [[nodiscard]] const ClientAccount* FindAccount(const std::string& aKey) const;
   [[nodiscard]] const Service* FindService(const std::string& aName) const;
 
 private:
   Configuration m_configuration;
-  std::unordered_map<std::string, std::vector<const Route*>> m_routesByHost; ///< longest first
+  /// Longest path prefix first.
+  std::unordered_map<std::string, std::vector<const Route*>> m_routesByHost;
   std::unordered_map<std::string, const ClientAccount*> m_accountsByKey;
   std::unordered_map<std::string, const Service*> m_servicesByName;
 };
--- a/include/ferrytray/fleet/named_weights.hpp
+++ b/include/ferrytray/fleet/named_weights.hpp
@@ -8,14 +8,15 @@
 
 namespace ferrytray::fleet {
 
-/// @brief Which weights were named when, and which are too old to begin a request on. Pure.
+/// @brief When the operators named each version of weights, and which versions are too old to start
+/// a request on. Does no I/O.
 ///
-/// A roll-out brings engines to new weights; one that is late must not make requests begin on
-/// weights that should be gone by then.
+/// A roll-out moves engines to new weights. If it is late, requests must not start on weights that
+/// should no longer be in use.
 class NamedWeightsHistory
 {
 public:
-  /// @param aGracePeriod for so long after new weights were named, requests may begin on older ones
+  /// @param aGracePeriod how long requests may start on older weights after new ones were named
   explicit NamedWeightsHistory(base::Duration aGracePeriod)
     : m_gracePeriod(aGracePeriod)
   {
@@ -26,7 +27,7 @@
     m_named[aModel].try_emplace(aVersion, aAt);
   }
 
-  /// @brief The oldest weights that a request may still begin on; zero: any.
+  /// @brief Returns the oldest weights that a request may still start on; zero: any.
   [[nodiscard]] WeightVersion OldestAllowed(const std::string& aModel, base::TimePoint aNow) const
   {
     const auto model = m_named.find(aModel);
--- a/src/ferrytray/fleet/directory.cpp
+++ b/src/ferrytray/fleet/directory.cpp
@@ -38,7 +38,7 @@
     WeightVersion& proven = entry.m_endpoint.m_provenWeights[model];
     const bool isNewer = version > proven;
     proven = std::max(proven, version);
-    // Entries lag: one that brings no news does not overrule a later guess.
+    // Entries lag behind: one without a newer version does not override a later guess.
     const auto previous = assumed.find(model);
     version = isNewer || previous == assumed.end() ? proven : std::max(proven, previous->second);
   }
@@ -144,14 +144,14 @@
   }
   WeightVersion& assumed = found->second.m_endpoint.m_weights[aModel];
   if (assumed != aNamed) {
-    return; // learnt since that request was sent
+    return; // the version has changed since that request was sent
   }
   std::set<WeightVersion>& refused = found->second.m_refusedGuesses[aModel];
   refused.insert(aNamed);
   const WeightVersion proven = found->second.m_endpoint.m_provenWeights[aModel];
   const WeightVersion newest = std::max(aNewest, proven);
   if (refused.size() > newest - proven) {
-    refused = { aNamed }; // all were wrong: it has changed meanwhile
+    refused = { aNamed }; // all were refused, so the weights have changed meanwhile
   }
   assumed = Guess(refused, proven, newest);
 }
--- a/src/ferrytray/fleet/directory_test.cpp
+++ b/src/ferrytray/fleet/directory_test.cpp
@@ -95,16 +95,16 @@
   m_directory.NoteWeightMismatch("a", "model", 1, 3);
   LONGS_EQUAL(3, AssumedWeights("a"));
   LONGS_EQUAL(1, m_directory.Find("a")->m_provenWeights.at("model"));
-  // The newest was not it either.
+  // The newest version is refused, too.
   m_directory.NoteWeightMismatch("a", "model", 3, 3);
   LONGS_EQUAL(2, AssumedWeights("a"));
-  // A late refusal of a request that named something else changes nothing.
+  // A late refusal of a request that named another version changes nothing.
   m_directory.NoteWeightMismatch("a", "model", 1, 3);
   LONGS_EQUAL(2, AssumedWeights("a"));
 }
 
-// Load: whoever announced a load stood still before it gave the order, and newer weights were
-// named.
+// The host that announced a reload stalled before it gave the order, and newer weights were named
+// meanwhile.
 TEST(Directory, AWeightMismatchFallsBackToTheProvenVersionFirst)
 {
   m_directory.Upsert(MakeEngine("a", 1), kStart);
@@ -232,7 +232,7 @@
   CHECK_FALSE(m_directory.SetEvacuated("z1", true));
   LONGS_EQUAL(1, m_directory.Usable("engines").size());
   STRCMP_EQUAL("b", m_directory.Usable("engines")[0]->m_id.c_str());
-  LONGS_EQUAL(2, m_directory.All().size()); // weights still come to them
+  LONGS_EQUAL(2, m_directory.All().size()); // they still get new weights
   CHECK(m_directory.SetEvacuated("z1", false));
   LONGS_EQUAL(2, m_directory.Usable("engines").size());
   CHECK_FALSE(m_directory.SetEvacuated("nowhere", false));
@@ -243,7 +243,7 @@
   m_directory.Upsert(MakeEngine("a"), kStart);
   m_directory.Upsert(MakeEngine("b"), kStart + 2s);
   LONGS_EQUAL(1, m_directory.Usable("engines").size());
-  m_directory.Upsert(MakeEngine("a"), kStart + 3s); // a heartbeat that was written late
+  m_directory.Upsert(MakeEngine("a"), kStart + 3s); // a late heartbeat
   STRCMP_EQUAL("b", m_directory.Usable("engines").at(0)->m_id.c_str());
 }
 
