--- a/include/ferrytray/fleet/named_weights.hpp
+++ b/include/ferrytray/fleet/named_weights.hpp
@@ -8,16 +8,17 @@
 
 namespace ferrytray::fleet {
 
-/// @brief Which weights were named when, and which are too old to begin a request on. Pure.
+/// @brief When the operators named each version of weights, and which versions are too old to start
+/// a request on. Does no I/O.
 ///
-/// A roll-out brings engines to new weights; one that is late must not make requests begin on
-/// weights that should be gone by then.
-class NamedWeightsLog
+/// A roll-out moves engines to new weights. If it is late, requests must not start on weights that
+/// should no longer be in use.
+class NamedWeightsHistory
 {
 public:
-  /// @param aDue for so long after new weights were named, requests may begin on older ones
-  explicit NamedWeightsLog(base::Duration aDue)
-    : m_due(aDue)
+  /// @param aGracePeriod how long requests may start on older weights after new ones were named
+  explicit NamedWeightsHistory(base::Duration aGracePeriod)
+    : m_gracePeriod(aGracePeriod)
   {
   }
 
@@ -26,21 +27,21 @@
     m_named[aModel].try_emplace(aVersion, aAt);
   }
 
-  /// @brief The oldest weights that a request may still begin on; zero: any.
-  [[nodiscard]] WeightVersion Oldest(const std::string& aModel, base::TimePoint aNow) const
+  /// @brief Returns the oldest weights that a request may still start on; zero: any.
+  [[nodiscard]] WeightVersion OldestAllowed(const std::string& aModel, base::TimePoint aNow) const
   {
     const auto model = m_named.find(aModel);
     WeightVersion oldest = 0;
     if (model != m_named.end()) {
       for (const auto& [version, namedAt] : model->second) {
-        oldest = aNow >= namedAt + m_due ? version : oldest;
+        oldest = aNow >= namedAt + m_gracePeriod ? version : oldest;
       }
     }
     return oldest;
   }
 
 private:
-  base::Duration m_due;
+  base::Duration m_gracePeriod;
   std::map<std::string, std::map<WeightVersion, base::TimePoint>> m_named; ///< by model
 };
 
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -18,8 +18,8 @@
 #include "ferrytray/limits/retry_window.hpp"       // for RetryWindow
 #include "ferrytray/net/http_client.hpp"           // for HttpClient
 #include "ferrytray/net/loop.hpp"                  // for Loop
-#include "ferrytray/peers/load_board.hpp"          // for LoadBoard
-#include "ferrytray/peers/reload_board.hpp"        // for ReloadBoard
+#include "ferrytray/peers/load_table.hpp"          // for LoadBoard
+#include "ferrytray/peers/reload_table.hpp"        // for ReloadBoard
 #include "ferrytray/quarantine/crash_board.hpp"    // for CrashTracker
 #include "ferrytray/relay/attempt_policy.hpp"      // for AttemptLimits
 #include "ferrytray/relay/prompt_placement.hpp"    // for PromptPlacement
@@ -108,8 +108,8 @@
   std::function<void(const quarantine::RequestKey&)> m_onCrashesChanged;
   /// Whether this host may send a request once more that is kept away; answers once. Unset: never.
   std::function<void(const quarantine::RequestKey&, std::function<void(bool)>)> m_claimTry;
-  peers::LoadBoard m_otherLoads; ///< other hosts' requests
-  peers::ReloadBoard m_reloads;  ///< engines that load weights
+  peers::LoadTable m_otherLoads; ///< other hosts' requests
+  peers::ReloadTable m_reloads;  ///< engines that load weights
   limits::RetryWindow m_retries;
   std::map<std::string, limits::AdmissionLimit> m_admission; ///< by service
   PromptPlacement m_placement;
@@ -120,7 +120,7 @@
   store::UnreadableRecords m_unreadable{ &m_metrics };
   std::mt19937_64 m_random{ std::random_device{}() };
   std::map<std::string, fleet::WeightVersion> m_wanted; ///< newest named weights, by model
-  fleet::NamedWeightsLog m_named;                       ///< when those were named
+  fleet::NamedWeightsHistory m_named;                   ///< when those were named
   std::optional<base::TimePoint> m_lastContact;         ///< with the record log
   /// Whatever operators had said by then is known here: the read of their topic that last ended was
   /// begun then, by this host or by the one that passes its records on.
--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -22,8 +22,8 @@
   aArchive(aCursor.m_store, aCursor.m_series, aCursor.m_next);
 }
 
-/// Its clock is written as a flag and a number: cereal's own reader of optional values needs C++17
-/// headers that the bounded archive does not go with.
+/// The optional clock is written as a flag and a number: cereal's reader for std::optional needs
+/// C++17 headers that do not work with BoundedInputArchive.
 template<typename Archive>
 void serialize(Archive& aArchive, ContentsDigest& aDigest)
 {
@@ -41,7 +41,7 @@
 template<typename Archive>
 void serialize(Archive& aArchive, TopicCursor& aCursor)
 {
-  aArchive(aCursor.m_topic, aCursor.m_next, aCursor.m_nothing);
+  aArchive(aCursor.m_topic, aCursor.m_next, aCursor.m_unread);
 }
 
 template<typename Archive>
@@ -51,10 +51,11 @@
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, TopicNews& aNews)
+void serialize(Archive& aArchive, TopicUpdate& aUpdate)
 {
-  aArchive(aNews.m_topic, aNews.m_from, aNews.m_end, aNews.m_records, aNews.m_readYourself);
-  aArchive(aNews.m_age, aNews.m_outages, aNews.m_whole);
+  aArchive(
+    aUpdate.m_topic, aUpdate.m_from, aUpdate.m_end, aUpdate.m_records, aUpdate.m_unavailable);
+  aArchive(aUpdate.m_age, aUpdate.m_outages, aUpdate.m_isSnapshot);
 }
 
 } // namespace ferrytray::store
@@ -98,22 +99,22 @@
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, ReplacedNotice& aNotice)
+void serialize(Archive& aArchive, ReplacementNotice& aNotice)
 {
   aArchive(aNotice.m_incarnation, aNotice.m_ageMillis);
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, NewsRequest& aRequest)
+void serialize(Archive& aArchive, SyncRequest& aRequest)
 {
   aArchive(aRequest.m_sender, aRequest.m_incarnation, aRequest.m_cursors);
-  aArchive(aRequest.m_topics, aRequest.m_scope, aRequest.m_loads, aRequest.m_lostLog);
+  aArchive(aRequest.m_topics, aRequest.m_scope, aRequest.m_loads, aRequest.m_logLost);
   aArchive(aRequest.m_reloads, aRequest.m_replaced);
   aArchive(aRequest.m_crashes, aRequest.m_crashesFrom);
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, NewsReply& aReply)
+void serialize(Archive& aArchive, SyncReply& aReply)
 {
   aArchive(aReply.m_incarnation, aReply.m_topics, aReply.m_stores, aReply.m_loads);
   aArchive(aReply.m_reloads, aReply.m_replaced, aReply.m_readers);
@@ -125,12 +126,12 @@
   return WriteMessage(aPeer);
 }
 
-std::string Encode(const NewsRequest& aRequest)
+std::string Encode(const SyncRequest& aRequest)
 {
   return WriteMessage(aRequest);
 }
 
-std::string Encode(const NewsReply& aReply)
+std::string Encode(const SyncReply& aReply)
 {
   return WriteMessage(aReply);
 }
@@ -145,14 +146,14 @@
   return ReadMessage<Peer>(aBytes);
 }
 
-base::Result<NewsRequest> DecodeNewsRequest(std::string_view aBytes)
+base::Result<SyncRequest> DecodeSyncRequest(std::string_view aBytes)
 {
-  return ReadMessage<NewsRequest>(aBytes);
+  return ReadMessage<SyncRequest>(aBytes);
 }
 
-base::Result<NewsReply> DecodeNewsReply(std::string_view aBytes)
+base::Result<SyncReply> DecodeSyncReply(std::string_view aBytes)
 {
-  return ReadMessage<NewsReply>(aBytes);
+  return ReadMessage<SyncReply>(aBytes);
 }
 
 base::Result<quarantine::Suspicion> DecodeSuspicion(std::string_view aBytes)
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm> // for max
 
-#include "ferrytray/peers/replaced_board.hpp"  // for KeyOf
-#include "ferrytray/relay/cold_engines.hpp"    // for MaySendCold
-#include "ferrytray/routing/engine_memory.hpp" // for HasRoom, SizeOf
+#include "ferrytray/peers/replacement_table.hpp" // for KeyOf
+#include "ferrytray/relay/cold_engines.hpp"      // for MaySendCold
+#include "ferrytray/routing/engine_memory.hpp"   // for HasRoom, SizeOf
 
 namespace ferrytray::relay {
 
@@ -38,16 +38,16 @@
   const std::string model(aNeeds.m_model);
   const auto weights = aEndpoint.m_weights.find(model);
   return weights != aEndpoint.m_weights.end() &&
-         weights->second < aCore.m_named.Oldest(model, aNow);
+         weights->second < aCore.m_named.OldestAllowed(model, aNow);
 }
 
 /// A prompt would wait for memory behind this much open work.
 bool IsFull(const fleet::Service* aService, const PromptNeeds& aNeeds, routing::Work aOpen)
 {
-  if (aService == nullptr || !aService->m_engine || aService->m_engine->m_kvTokens == 0) {
+  if (aService == nullptr || !aService->m_engine || aService->m_engine->m_kvCapacityTokens == 0) {
     return false;
   }
-  const std::uint64_t memory = aService->m_engine->m_kvTokens;
+  const std::uint64_t memory = aService->m_engine->m_kvCapacityTokens;
   return !routing::HasRoom(routing::SizeOf(aNeeds.m_tokens, memory), aOpen, memory);
 }
 
@@ -78,7 +78,7 @@
       continue;
     }
     const peers::EndpointTag tag = peers::TagOf(name);
-    const routing::Work work = aCore.m_board.OpenWork(name) + aCore.m_otherLoads.Others(tag);
+    const routing::Work work = aCore.m_board.OpenWork(name) + aCore.m_otherLoads.RemoteLoad(tag);
     const bool reloading = aNeeds && aCore.m_reloads.IsReloading(tag, aNow);
     const bool avoided =
       reloading || aCore.m_board.Avoided(name, aNow) || IsDown(aCore, name, aNow);
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -26,8 +26,8 @@
   operators.m_topic = aFormat.OperatorTopic();
   operators.m_wait = aOptions.m_operatorWait;
   operators.m_pause = {};
-  operators.m_patience = aOptions.m_operatorPatience;
-  operators.m_newsFresh = aOptions.m_operatorNewsFresh;
+  operators.m_replyTimeout = aOptions.m_operatorPatience;
+  operators.m_maxUpdateAge = aOptions.m_operatorNewsFresh;
   store::FollowEvents onOperators = EventsFor(operators.m_topic);
   onOperators.m_onRecord = [this](const store::Record& aRecord) {
     OnOperatorRecord(aRecord);
@@ -43,13 +43,13 @@
   endpoints.m_topic = aFormat.EndpointTopic();
   endpoints.m_pause = aOptions.m_endpointPause;
   endpoints.m_servingPause = aOptions.m_endpointServingPause;
-  endpoints.m_newsFresh = aOptions.m_endpointNewsFresh;
+  endpoints.m_maxUpdateAge = aOptions.m_endpointNewsFresh;
   store::FollowEvents onEndpoints = EventsFor(endpoints.m_topic);
   onEndpoints.m_onRecord = [this](const store::Record& aRecord) {
     return OnEndpointRecord(aRecord);
   };
   onEndpoints.m_onSnapshot = [this](const std::set<std::string>& aListed) {
-    m_core.m_directory.KeepOnly(aListed, base::MonotonicNow());
+    m_core.m_directory.RemoveUnlisted(aListed, base::MonotonicNow());
     m_endpointsLoaded = true;
   };
   m_endpoints = std::make_shared<store::TopicFollower>(
@@ -66,32 +66,32 @@
 {
   store::FollowEvents events;
   const bool isDirectory = aTopic == m_format.EndpointTopic();
-  events.m_onContact = [this, aTopic, isDirectory](bool aWasAway, base::TimePoint aAt) {
+  events.m_onContact = [this, aTopic, isDirectory](bool aRecovered, base::TimePoint aAt) {
     const base::TimePoint now = base::MonotonicNow();
     m_core.m_lastContact = std::max(m_core.m_lastContact.value_or(aAt), aAt);
     if (!isDirectory) {
       m_core.m_operatorsHeardAt = aAt;
     }
-    if (!aWasAway) {
+    if (!aRecovered) {
       return;
     }
     if (isDirectory) {
-      m_core.m_directory.OnSourceBack(now);
-      m_operators->Renew();
+      m_core.m_directory.OnSourceRecovered(now);
+      m_operators->RestartRead();
     }
     telemetry::LogLine("dependency_back").Add("dependency", "record_log").Add("topic", aTopic);
   };
   if (isDirectory) {
-    events.m_onSlow = [this](base::Duration) { m_operators->Renew(); };
+    events.m_onSlow = [this](base::Duration) { m_operators->RestartRead(); };
   }
-  events.m_onUnanswered = [aTopic](base::Duration aOpen) {
+  events.m_onHeldReadFailed = [aTopic](base::Duration aOpen) {
     telemetry::LogLine("held_read_unanswered")
       .Add("topic", aTopic)
       .Add("read_open_ms", base::ToMillis(aOpen));
   };
-  events.m_onAway = [this, aTopic, isDirectory](const base::Failure& aFailure) {
+  events.m_onUnreachable = [this, aTopic, isDirectory](const base::Failure& aFailure) {
     if (isDirectory) {
-      m_operators->Renew();
+      m_operators->RestartRead();
     }
     telemetry::LogLine("dependency_lost")
       .Add("dependency", "record_log")
@@ -225,7 +225,8 @@
 {
   fleet::Endpoint told = aEndpoint;
   // A cold endpoint tells with each heartbeat that less time is left.
-  told.m_coldFor = told.m_coldFor > base::Duration::zero() ? base::Duration(1) : base::Duration();
+  told.m_coldDuration =
+    told.m_coldDuration > base::Duration::zero() ? base::Duration(1) : base::Duration();
   fleet::Endpoint& before = m_told[aKey];
   const bool news = before != told;
   before = std::move(told);
@@ -267,7 +268,7 @@
   }
   const fleet::Endpoint* before = m_core.m_directory.FindById(aRecord.m_key);
   if (ColdTraitsOf(m_core, read->m_service) != nullptr) {
-    m_core.m_cold.OnTold(read->m_incarnation, read->m_coldFor, before == nullptr, now);
+    m_core.m_cold.OnTold(read->m_incarnation, read->m_coldDuration, before == nullptr, now);
   }
   const std::string former = before == nullptr ? "" : before->m_incarnation;
   m_core.m_directory.Upsert(std::move(*read), now);
