--- a/include/ferrytray/relay/attempt_policy.hpp
+++ b/include/ferrytray/relay/attempt_policy.hpp
@@ -8,39 +8,39 @@
 namespace ferrytray::relay {
 
 /// @brief How one send to an endpoint ended, when it did not end in a success.
-enum class AttemptEnd : std::uint8_t
+enum class AttemptOutcome : std::uint8_t
 {
-  NotSent, ///< no byte of the request reached the endpoint
-  NotRun,  ///< the endpoint states that it has not run it
-  Failure, ///< a whole reply that is not a success; it has run
-  Broken,  ///< sent, and the reply is missing, cut short or not this request's: it may have run
+  NotSent,    ///< no byte of the request reached the endpoint
+  NotRun,     ///< the endpoint states that it has not run it
+  ErrorReply, ///< a whole reply that is not a success; it has run
+  Broken,     ///< sent, and the reply is missing, cut short or not this request's: it may have run
 };
 
 /// @brief The word for it in logs.
-std::string_view ToString(AttemptEnd aEnd);
+std::string_view ToString(AttemptOutcome aOutcome);
 
 /// @brief What is done with the request next.
 enum class NextStep : std::uint8_t
 {
-  TryElsewhere, ///< send it again, or let the stream go on, at another endpoint
-  Forward,      ///< give the endpoint's own failure to the caller
+  Retry,        ///< send it again, or let the stream go on, at another endpoint
+  ForwardReply, ///< give the endpoint's own failure to the caller
   Refuse,       ///< not run, and never will be
-  Fail,         ///< it may have run
-  BreakOff,     ///< part of the answer is with the caller: close without an end
+  FailUnknown,  ///< it may have run
+  AbortReply,   ///< part of the answer is with the caller: close without an end
 };
 
 /// @brief What decides the next step.
-struct AttemptFacts
+struct RetryContext
 {
-  AttemptEnd m_end = AttemptEnd::Broken;
-  bool m_repeatable = false;  ///< the route allows to run it again
-  bool m_answerBegan = false; ///< the caller has part of the answer
-  bool m_mayHaveRun = false;  ///< at this or an earlier endpoint
-  bool m_forwardable = false; ///< the failure is a whole reply that the caller may get
-  std::uint32_t m_ranOn = 0;  ///< endpoints on which it ran or may have run
+  AttemptOutcome m_outcome = AttemptOutcome::Broken;
+  bool m_repeatable = false;         ///< the route allows to run it again
+  bool m_replyStarted = false;       ///< the caller has part of the answer
+  bool m_mayHaveRun = false;         ///< at this or an earlier endpoint
+  bool m_forwardable = false;        ///< the failure is a whole reply that the caller may get
+  std::uint32_t m_endpointsUsed = 0; ///< endpoints on which it ran or may have run
   std::uint32_t m_maxEndpoints = 1;
   std::uint32_t m_sends = 1;
-  base::Duration m_left{}; ///< until the answer is due
+  base::Duration m_remaining{}; ///< until the answer is due
 };
 
 struct AttemptLimits
@@ -48,14 +48,14 @@
   /// Sends of one request, refused ones included; the shared retry budget is the tighter bound.
   std::uint32_t m_maxSends = 4;
   /// With less time left, another send would only be thrown away.
-  base::Duration m_leastLeft = std::chrono::milliseconds(60);
+  base::Duration m_minRemaining = std::chrono::milliseconds(60);
 };
 
 /// @brief Whether another send is allowed, but for the shared budget of repeats.
-[[nodiscard]] bool MayTryAgain(const AttemptFacts& aFacts, const AttemptLimits& aLimits);
+[[nodiscard]] bool MayRetry(const RetryContext& aContext, const AttemptLimits& aLimits);
 
 /// @brief Decides what happens after a send that did not succeed.
-/// @param aTryAgain MayTryAgain() held and the budget granted the repeat
-[[nodiscard]] NextStep DecideNext(const AttemptFacts& aFacts, bool aTryAgain);
+/// @param aRetryGranted MayRetry() held and the budget granted the repeat
+[[nodiscard]] NextStep DecideNextStep(const RetryContext& aContext, bool aRetryGranted);
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/caller_request.hpp
+++ b/include/ferrytray/relay/caller_request.hpp
@@ -34,11 +34,11 @@
   std::string m_target; ///< path and query
   std::string m_path;
   std::string m_hostName;
-  std::string m_key;                        ///< of a client account; never forwarded
+  std::string m_apiKey;                     ///< of a client account; never forwarded
   std::optional<base::Duration> m_deadline; ///< how long the caller waits from now
   std::optional<Prompt> m_prompt;
   std::optional<std::uint64_t> m_resumeAfter; ///< the caller has this stream's events up to here
-  net::Headers m_forwarded;                   ///< end-to-end headers that are the caller's to set
+  net::Headers m_forwardedHeaders;            ///< end-to-end headers that are the caller's to set
   std::string m_body;
 };
 
--- a/include/ferrytray/relay/candidates.hpp
+++ b/include/ferrytray/relay/candidates.hpp
@@ -13,7 +13,7 @@
 namespace ferrytray::relay {
 
 /// @brief What a prompt asks of an engine.
-struct PromptNeeds
+struct PromptRequirements
 {
   std::string_view m_model;
   std::uint32_t m_tokens = 0; ///< of the whole prompt
@@ -23,21 +23,21 @@
 struct Candidates
 {
   std::vector<const fleet::Endpoint*> m_endpoints;
-  std::vector<routing::PlacementCandidate> m_places;
+  std::vector<routing::PlacementCandidate> m_placements;
 };
 
 /// @param aService null: nothing is declared of it
-/// @param aNeeds empty for requests without a prompt
-/// @param aTried incarnations that are not to be asked again
+/// @param aRequirements empty for requests without a prompt
+/// @param aExcluded incarnations that are not to be asked again
 /// @param aCold by whose choice a cold endpoint would get the request
 /// @param aAssigned an incarnation that another host has chosen, cold or not; may be empty
-[[nodiscard]] Candidates CandidatesFor(RelayCore& aCore,
-                                       const std::string& aServiceName,
-                                       const fleet::Service* aService,
-                                       const std::optional<PromptNeeds>& aNeeds,
-                                       const std::set<std::string>& aTried,
-                                       routing::ColdUse aCold,
-                                       const std::string& aAssigned,
-                                       base::TimePoint aNow);
+[[nodiscard]] Candidates FindCandidates(RelayCore& aCore,
+                                        const std::string& aServiceName,
+                                        const fleet::Service* aService,
+                                        const std::optional<PromptRequirements>& aRequirements,
+                                        const std::set<std::string>& aExcluded,
+                                        routing::ColdUse aCold,
+                                        const std::string& aAssigned,
+                                        base::TimePoint aNow);
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/endpoint_call.hpp
+++ b/include/ferrytray/relay/endpoint_call.hpp
@@ -42,12 +42,12 @@
   std::string m_endpointId;   ///< of the endpoint that replied, if told
   std::optional<fleet::WeightVersion> m_weights;
   std::optional<base::Duration> m_idleTimeout; ///< the endpoint closes idle connections after it
-  net::Headers m_forwarded;                    ///< end-to-end headers
+  net::Headers m_forwardedHeaders;             ///< end-to-end headers
 
   [[nodiscard]] bool Succeeds() const { return m_status >= 200 && m_status < 300; }
   /// @brief Whether its status would promise a caller that the request has not run. Only a host
   /// knows that of all its sends, so such a status is never passed on as it is.
-  [[nodiscard]] bool PromisesNotRun() const
+  [[nodiscard]] bool ImpliesNotRun() const
   {
     return m_status == 408 || m_status == 421 || m_status == 429 || m_status == 503;
   }
--- a/include/ferrytray/relay/event_splitter.hpp
+++ b/include/ferrytray/relay/event_splitter.hpp
@@ -12,7 +12,7 @@
 {
 public:
   /// @brief What a call of Feed() completed.
-  struct Whole
+  struct CompleteEvents
   {
     std::string m_bytes; ///< whole events, as they came
     std::optional<std::uint64_t> m_lastId;
@@ -24,13 +24,13 @@
   {
   }
 
-  Whole Feed(std::string_view aBytes);
+  CompleteEvents Feed(std::string_view aBytes);
   /// @brief What follows the last whole event.
-  [[nodiscard]] const std::string& Rest() const { return m_rest; }
+  [[nodiscard]] const std::string& Remainder() const { return m_buffer; }
 
 private:
   std::optional<std::uint64_t> m_skipThrough;
-  std::string m_rest;
+  std::string m_buffer;
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/exchange.hpp
+++ b/include/ferrytray/relay/exchange.hpp
@@ -10,13 +10,13 @@
 
 #include "ferrytray/base/error.hpp"           // for Failure
 #include "ferrytray/net/http_server.hpp"      // for HttpReply
-#include "ferrytray/relay/admitted.hpp"       // for Admitted
 #include "ferrytray/relay/attempt_policy.hpp" // for AttemptEnd
 #include "ferrytray/relay/call_planner.hpp"   // for CallPlanner
 #include "ferrytray/relay/caller_request.hpp" // for CallerRequest
 #include "ferrytray/relay/endpoint_call.hpp"  // for EndpointCall, ReplyHead
 #include "ferrytray/relay/event_splitter.hpp" // for EventSplitter
 #include "ferrytray/relay/relay_core.hpp"     // for RelayCore
+#include "ferrytray/relay/route_match.hpp"    // for Admitted
 
 namespace ferrytray::relay {
 
@@ -28,7 +28,7 @@
 public:
   Exchange(RelayCore& aCore,
            CallerRequest aRequest,
-           Admitted aAdmitted,
+           RouteMatch aRouteMatch,
            std::shared_ptr<net::HttpReply> aReply);
   ~Exchange();
   Exchange(const Exchange&) = delete;
@@ -40,15 +40,15 @@
   /// The send that is under way.
   struct Attempt
   {
-    std::string m_endpoint;   ///< incarnation
-    std::string m_endpointId; ///< what it calls itself
-    net::CallId m_call = 0;
+    std::string m_incarnation; ///< incarnation
+    std::string m_endpointId;  ///< what it calls itself
+    net::CallId m_callId = 0;
     base::TimePoint m_sentAt;
     std::optional<fleet::WeightVersion> m_weights;
     std::optional<ReplyHead> m_head;
-    bool m_foreign = false; ///< the reply is not this request's
+    bool m_invalidReply = false; ///< the reply is not this request's
     std::string m_body;
-    EventSplitter m_events;
+    EventSplitter m_eventSplitter;
   };
 
   void OnAssigned(Assignment aAssigned);
@@ -56,67 +56,68 @@
   void OnHead(int aStatus, const net::Headers& aHeaders);
   void OnData(std::string_view aPiece);
   void OnEnd(const net::ClientOutcome& aOutcome);
-  void Learn(const ReplyHead& aHead);
+  void UpdateEndpointState(const ReplyHead& aHead);
   [[nodiscard]] bool IsSuccess(const Attempt& aAttempt) const;
-  [[nodiscard]] AttemptEnd EndOf(const Attempt& aAttempt, const net::ClientOutcome& aOutcome) const;
+  [[nodiscard]] AttemptOutcome ClassifyOutcome(const Attempt& aAttempt,
+                                               const net::ClientOutcome& aOutcome) const;
   void Deliver(Attempt aAttempt);
-  void PassEvents(std::string aEvents);
-  [[nodiscard]] AttemptFacts FactsOf(AttemptEnd aEnd, const Attempt& aAttempt) const;
-  void AfterFailure(AttemptEnd aEnd, Attempt aAttempt, std::string_view aDetail);
-  void EndAttempt();
-  void OnDue();
-  void OnCallerGone();
+  void ForwardEvents(std::string aEvents);
+  [[nodiscard]] RetryContext RetryContextOf(AttemptOutcome aOutcome, const Attempt& aAttempt) const;
+  void HandleFailure(AttemptOutcome aOutcome, Attempt aAttempt, std::string_view aDetail);
+  void CancelAttempt();
+  void OnDeadline();
+  void OnCallerDisconnected();
   void Refuse(base::ErrorCode aCode, std::string aMessage);
   /// The answer has not begun, and the prompt would wait for memory at all its homes.
-  void RefuseAsFull(routing::Work aLeastOpen);
+  void RefuseMemoryFull(routing::Work aLeastOpen);
   void FailUnknown(base::ErrorCode aCode, std::string aMessage);
-  void Answer(const base::Failure& aFailure);
-  void BreakOff(std::string_view aWhy);
+  void SendFailure(const base::Failure& aFailure);
+  void AbortReply(std::string_view aWhy);
   void Finish(std::string_view aOutcome, std::string_view aWhy = "");
-  [[nodiscard]] base::Duration Left() const;
+  [[nodiscard]] base::Duration Remaining() const;
   /// Tells the crash board what the send's end says of the request.
-  void NoteBroken(const Attempt& aAttempt);
-  void NoteAnswered();
+  void RecordCrash(const Attempt& aAttempt);
+  void RecordSuccess();
   /// Requests that are alike end the endpoints that run them: this one is not sent any more.
-  void KeepAway();
+  void RefuseQuarantined();
   /// Before it is sent though it is kept away: chooses a service and leaves out its endpoints that
   /// may be down, since it is sent once only. @return whether another one is left
-  bool ChooseForTry();
+  bool PrepareProbe();
   /// Asks whether this one may be sent though requests that are alike are kept away.
-  void ClaimTry();
+  void ClaimProbe();
   /// Looks for a place and sends.
   void Admit();
-  [[nodiscard]] bool IsKeptAway() const
+  [[nodiscard]] bool IsBlockedByQuarantine() const
   {
-    return !m_isTry && m_core.m_crashes.IsQuarantined(m_key);
+    return !m_isProbe && m_core.m_crashes.IsQuarantined(m_requestKey);
   }
 
   RelayCore& m_core;
   CallerRequest m_request;
-  Admitted m_admitted;
-  quarantine::RequestKey m_key; ///< of all requests that are alike
+  RouteMatch m_routeMatch;
+  quarantine::RequestKey m_requestKey; ///< of all requests that are alike
   CallPlanner m_planner;
   std::shared_ptr<net::HttpReply> m_reply;
-  base::TimePoint m_arrival;
-  base::TimePoint m_dueAt;
-  net::TimerHandle m_due;
+  base::TimePoint m_arrivedAt;
+  base::TimePoint m_deadlineAt;
+  net::TimerHandle m_deadlineTimer;
   std::optional<Attempt> m_attempt;
   std::string m_service;
-  std::optional<std::uint64_t> m_admission; ///< its number at the service's limit
-  routing::Work m_work;                     ///< of one send
-  Assignment m_assigned;                    ///< of a long prompt
-  std::set<std::string> m_tried;
+  std::optional<std::uint64_t> m_admissionTicket; ///< its number at the service's limit
+  routing::Work m_work;                           ///< of one send
+  Assignment m_assigned;                          ///< of a long prompt
+  std::set<std::string> m_triedEndpoints;
   std::uint32_t m_sends = 0;
-  std::uint32_t m_ranOn = 0;
+  std::uint32_t m_endpointsUsed = 0;
   bool m_mayHaveRun = false;
-  bool m_answerBegan = false;
-  std::optional<std::uint64_t> m_lastEvent; ///< passed on to the caller
+  bool m_replyStarted = false;
+  std::optional<std::uint64_t> m_lastEventId; ///< passed on to the caller
   std::string m_lastEndpoint;
-  routing::Work m_lastWorkThere = 0; ///< for the log: what decided the last send
+  routing::Work m_lastOpenWork = 0; ///< for the log: what decided the last send
   bool m_lastAtHome = true;
-  std::array<std::uint64_t, cache::kPartFates> m_lastTokens{}; ///< by cache::PartFate
-  std::optional<base::TimePoint> m_beganAt;                    ///< the answer's first event
-  bool m_isTry = false; ///< sent once, though requests that are alike are kept away
+  std::array<std::uint64_t, cache::kPartFates> m_lastTokensByFate{}; ///< by cache::PartFate
+  std::optional<base::TimePoint> m_firstEventAt;                     ///< the answer's first event
+  bool m_isProbe = false; ///< sent once, though requests that are alike are kept away
   bool m_done = false;
 };
 
--- a/include/ferrytray/relay/prompt_dispatcher.hpp
+++ b/include/ferrytray/relay/prompt_dispatcher.hpp
@@ -18,9 +18,9 @@
 {
   /// Engines that are chosen from together. Below so many in a zone all zones' engines are one
   /// group: with few to choose from, prompts wait where others are idle.
-  std::size_t m_leastEngines = 16;
+  std::size_t m_minEnginesPerZone = 16;
   /// A host that did not answer is not asked for so long; meanwhile prompts go to their homes.
-  base::Duration m_avoid = std::chrono::milliseconds(1000);
+  base::Duration m_hostBackoff = std::chrono::milliseconds(1000);
 };
 
 /// @brief Has one host give out the long prompts of a group of engines, so that each begins where
@@ -37,43 +37,43 @@
   using Done = std::function<void(Assignment)>;
 
   /// Keeps references to both. Answers other hosts from now on.
-  PromptDispatcher(RelayCore& aCore, peers::NewsExchange& aExchange, DispatchOptions aOptions = {});
+  PromptDispatcher(RelayCore& aCore, peers::NewsExchange& aNews, DispatchOptions aOptions = {});
 
   /// @brief Asks which engine a prompt goes to.
   /// @param aDone called once, perhaps before this returns
-  void Ask(const Prompt& aPrompt,
-           const fleet::ClientAccount* aAccount,
-           const std::string& aService,
-           Done aDone);
+  void RequestEngine(const Prompt& aPrompt,
+                     const fleet::ClientAccount* aAccount,
+                     const std::string& aService,
+                     Done aDone);
   /// @brief Gives out a prompt.
-  peers::PlacementReply Give(const peers::PlacementRequest& aRequest);
+  peers::PlacementReply AssignEngine(const peers::PlacementRequest& aRequest);
   /// @brief A prompt that found nothing waiting began.
-  void OnBegan(std::uint32_t aReadTokens, base::Duration aTook);
+  void OnFirstEvent(std::uint32_t aPrefillTokens, base::Duration aDuration);
 
 private:
   /// Engines of a service that this host cannot use now.
-  [[nodiscard]] std::vector<peers::EndpointTag> Unreachable(const std::string& aService,
-                                                            base::TimePoint aNow) const;
+  [[nodiscard]] std::vector<peers::EndpointTag> UnreachableEngines(const std::string& aService,
+                                                                   base::TimePoint aNow) const;
   [[nodiscard]] std::string ZoneFor(const std::string& aKey, const std::string& aService) const;
   /// Tokens of a prompt that no store holds.
-  [[nodiscard]] std::uint32_t ReadTokens(const Prompt& aPrompt,
-                                         const fleet::ClientAccount* aAccount,
-                                         base::TimePoint aNow) const;
+  [[nodiscard]] std::uint32_t PrefillTokens(const Prompt& aPrompt,
+                                            const fleet::ClientAccount* aAccount,
+                                            base::TimePoint aNow) const;
   [[nodiscard]] bool IsStored(const cache::PartName& aPart, base::TimePoint aNow) const;
 
-  struct Seen
+  struct PrefillSample
   {
     std::uint32_t m_tokens = 0;
-    base::Duration m_took{};
+    base::Duration m_duration{};
   };
 
   RelayCore& m_core;
-  peers::NewsExchange& m_exchange;
+  peers::NewsExchange& m_news;
   DispatchOptions m_options;
   routing::PrefillQueues m_queues;
   peers::UnreachableBoard m_unreachable;
-  std::optional<Seen> m_seen;                                    ///< told with the next question
-  std::unordered_map<std::string, base::TimePoint> m_avoidUntil; ///< by host
+  std::optional<PrefillSample> m_prefillSample;                    ///< told with the next question
+  std::unordered_map<std::string, base::TimePoint> m_backoffUntil; ///< by host
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/prompt_placement.hpp
+++ b/include/ferrytray/relay/prompt_placement.hpp
@@ -16,7 +16,7 @@
 {
   routing::PlacementOptions m_homes;
   /// A part this long decides where a prompt runs; shorter ones are cheap to read again (tokens).
-  std::uint32_t m_longPart = 1000;
+  std::uint32_t m_minHomePartTokens = 1000;
 };
 
 /// @brief Where prompts run and which cached parts they may find.
@@ -41,7 +41,7 @@
   [[nodiscard]] std::optional<routing::Placement> Place(
     const Prompt& aPrompt,
     const fleet::ClientAccount* aAccount,
-    std::span<const routing::PlacementCandidate> aOf) const;
+    std::span<const routing::PlacementCandidate> aCandidates) const;
 
 private:
   PromptPlacementOptions m_options;
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -28,16 +28,16 @@
   /// @brief Followed once it is started.
   [[nodiscard]] const std::shared_ptr<store::TopicFollower>& Topic() const { return m_topic; }
   /// @brief This host saw an end of the request, or a whole answer to it.
-  void OnOwn(const quarantine::RequestKey& aRequest);
+  void OnLocalChange(const quarantine::RequestKey& aRequest);
   /// @brief This host hears of no other one: the record log is asked at once.
-  void OnAlone() { m_topic->Renew(); }
+  void OnIsolated() { m_topic->Renew(); }
   /// @brief The crash board has changed.
-  void OnChange();
+  void OnBoardChanged();
   /// @brief Records that the request is sent once more though it is kept away.
   /// @param aDone called once; whether this host may send it
-  void ClaimTry(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
+  void ClaimProbe(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
   /// @brief Who records what other hosts saw.
-  void OnRank(std::function<quarantine::WriterRank(const quarantine::RequestKey&)> aCall)
+  void SetRankFunction(std::function<quarantine::WriterRank(const quarantine::RequestKey&)> aCall)
   {
     m_rankOf = std::move(aCall);
   }
@@ -54,10 +54,11 @@
   quarantine::RecordKeeper m_keeper;
   std::function<quarantine::WriterRank(const quarantine::RequestKey&)> m_rankOf;
   std::shared_ptr<store::TopicFollower> m_topic;
-  std::set<quarantine::RequestKey> m_claiming;
-  std::set<quarantine::RequestKey> m_logged; ///< the requests that were last told to be kept away
+  std::set<quarantine::RequestKey> m_pendingClaims;
+  std::set<quarantine::RequestKey>
+    m_loggedRequests; ///< the requests that were last told to be kept away
   bool m_stopped = false;
-  net::TimerHandle m_tick;
+  net::TimerHandle m_recordTimer;
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -41,7 +41,7 @@
   /// Without news of the operators' topic for longer, a configuration that this host does not know
   /// of may be in force: what looks unknown is then refused with 503, not 401 or 404. Other topics'
   /// reads say nothing of it.
-  base::Duration m_deniesWithin = std::chrono::milliseconds(1800);
+  base::Duration m_maxDenialAge = std::chrono::milliseconds(1800);
   /// A new connection within a region takes about a millisecond; a lost opening packet is sent
   /// again only after a second, so another endpoint is the better choice long before. 400 ms cost
   /// 1 in 1,000 requests more in failures and as many in late answers while a zone was cut off.
@@ -55,9 +55,9 @@
   /// name).
   base::Duration m_weightsDue = std::chrono::milliseconds(10500);
   /// When a caller whose request was not run should come back.
-  base::Duration m_comeBack = std::chrono::milliseconds(250);
+  base::Duration m_retryAfterDelay = std::chrono::milliseconds(250);
   /// The same for a request that ends the endpoints that run it: asking again soon is of no use.
-  base::Duration m_comeBackQuarantined = std::chrono::seconds(60);
+  base::Duration m_quarantineRetryAfterDelay = std::chrono::seconds(60);
   /// Fetches of a prompt's parts end within this part of its route's target. What is left is for
   /// reading the prompt instead, so that a store whose link is slow or crowded makes an answer
   /// later, but seldom late: of the short prompts of calm days with one store slowed to a quarter,
@@ -68,7 +68,7 @@
   double m_coldOvershoot = 1;
   double m_coldSlack = 0;
   /// A plain answer over this size breaks off (bytes).
-  std::size_t m_maxAnswerBytes = 16U << 20U;
+  std::size_t m_maxReplyBytes = 16U << 20U;
 };
 
 /// @brief What all exchanges of a host share.
@@ -82,8 +82,8 @@
     , m_client(aClient)
     , m_format(aFormat)
     , m_options(std::move(aOptions))
-    , m_retries(m_options.m_retries)
-    , m_named(m_options.m_weightsDue)
+    , m_retryWindow(m_options.m_retries)
+    , m_namedWeights(m_options.m_weightsDue)
   {
   }
 
@@ -93,13 +93,13 @@
   RelayOptions m_options;
   fleet::ConfigurationPtr m_configuration; ///< null until the first one is read
   fleet::Directory m_directory;
-  routing::EndpointBoard m_board;
-  routing::ColdStarts m_cold;
+  routing::EndpointBoard m_endpointBoard;
+  routing::ColdStarts m_coldStarts;
   /// Whether this host is among the first so many hosts by a hash of that name; false while the
   /// other hosts are unknown. Unset: never.
-  std::function<bool(const std::string& aName, std::size_t aFirst)> m_isAmongHosts;
+  std::function<bool(const std::string& aName, std::size_t aFirst)> m_isAmongFirstHosts;
   /// Another endpoint answered at that incarnation's address. Unset: nobody is told.
-  std::function<void(const std::string& aIncarnation)> m_onReplaced;
+  std::function<void(const std::string& aIncarnation)> m_onEndpointReplaced;
   quarantine::CrashBoard m_crashes; ///< requests that end the endpoints that run them
   /// What the record log has of those is known here. Until then nothing is sent to endpoints: hosts
   /// that start anew, one after the other or all at once, would each try such requests again.
@@ -107,37 +107,37 @@
   /// This host added to the crash board. Unset: nobody is told.
   std::function<void(const quarantine::RequestKey&)> m_onCrashesChanged;
   /// Whether this host may send a request once more that is kept away; answers once. Unset: never.
-  std::function<void(const quarantine::RequestKey&, std::function<void(bool)>)> m_claimTry;
-  peers::LoadBoard m_otherLoads; ///< other hosts' requests
-  peers::ReloadBoard m_reloads;  ///< engines that load weights
-  limits::RetryWindow m_retries;
-  std::map<std::string, limits::AdmissionLimit> m_admission; ///< by service
-  PromptPlacement m_placement;
+  std::function<void(const quarantine::RequestKey&, std::function<void(bool)>)> m_claimProbe;
+  peers::LoadBoard m_peerLoads; ///< other hosts' requests
+  peers::ReloadBoard m_reloads; ///< engines that load weights
+  limits::RetryWindow m_retryWindow;
+  std::map<std::string, limits::AdmissionLimit> m_admissionLimits; ///< by service
+  PromptPlacement m_promptPlacement;
   PromptDispatcher* m_dispatcher = nullptr; ///< null: each host chooses engines by itself
   cache::Stores m_stores;
-  cache::PartPlanner m_parts;
+  cache::PartPlanner m_partPlanner;
   telemetry::Metrics m_metrics;
   store::UnreadableRecords m_unreadable{ &m_metrics };
   std::mt19937_64 m_random{ std::random_device{}() };
-  std::map<std::string, fleet::WeightVersion> m_wanted; ///< newest named weights, by model
-  fleet::NamedWeightsLog m_named;                       ///< when those were named
-  std::optional<base::TimePoint> m_lastContact;         ///< with the record log
+  std::map<std::string, fleet::WeightVersion> m_desiredWeights; ///< newest named weights, by model
+  fleet::NamedWeightsLog m_namedWeights;                        ///< when those were named
+  std::optional<base::TimePoint> m_lastContact;                 ///< with the record log
   /// Whatever operators had said by then is known here: the read of their topic that last ended was
   /// begun then, by this host or by the one that passes its records on.
-  std::optional<base::TimePoint> m_operatorsHeardAt;
-  std::size_t m_open = 0;       ///< exchanges that have not ended
-  bool m_leaving = false;       ///< a planned stop has begun
-  bool m_beginsNothing = false; ///< the stop is near: new requests are refused
+  std::optional<base::TimePoint> m_operatorsReadAt;
+  std::size_t m_openExchanges = 0;   ///< exchanges that have not ended
+  bool m_stopping = false;           ///< a planned stop has begun
+  bool m_refusesNewRequests = false; ///< the stop is near: new requests are refused
 
   /// @brief How old what operators said may be here (ms); -1: nothing has been read yet.
   [[nodiscard]] long OperatorsAgeMillis(base::TimePoint aNow) const
   {
-    return m_operatorsHeardAt ? base::ToMillis(aNow - *m_operatorsHeardAt) : -1;
+    return m_operatorsReadAt ? base::ToMillis(aNow - *m_operatorsReadAt) : -1;
   }
   /// @brief Whether a configuration that this host has not read may be in force.
-  [[nodiscard]] bool MayBeBehind(base::TimePoint aNow) const
+  [[nodiscard]] bool MayBeStale(base::TimePoint aNow) const
   {
-    return base::MayBeBehind(m_operatorsHeardAt, m_options.m_deniesWithin, aNow);
+    return base::MayBeBehind(m_operatorsReadAt, m_options.m_maxDenialAge, aNow);
   }
 };
 
--- a/include/ferrytray/relay/relay_front.hpp
+++ b/include/ferrytray/relay/relay_front.hpp
@@ -2,10 +2,10 @@
 
 #include <memory> // for shared_ptr
 
-#include "ferrytray/base/error.hpp"       // for Result
-#include "ferrytray/net/http_server.hpp"  // for HttpRequest, HttpReply
-#include "ferrytray/relay/admitted.hpp"   // for Admitted
-#include "ferrytray/relay/relay_core.hpp" // for RelayCore
+#include "ferrytray/base/error.hpp"        // for Result
+#include "ferrytray/net/http_server.hpp"   // for HttpRequest, HttpReply
+#include "ferrytray/relay/relay_core.hpp"  // for RelayCore
+#include "ferrytray/relay/route_match.hpp" // for Admitted
 
 namespace ferrytray::relay {
 
@@ -23,7 +23,7 @@
 private:
   /// Whether the request is within what the configuration in force allows callers to send.
   [[nodiscard]] base::Result<void> CheckLimits(const net::HttpRequest& aRequest) const;
-  [[nodiscard]] base::Result<Admitted> Admit(const CallerRequest& aRequest) const;
+  [[nodiscard]] base::Result<RouteMatch> MatchRoute(const CallerRequest& aRequest) const;
   void Refuse(const std::string& aRequestId,
               const base::Failure& aFailure,
               const std::shared_ptr<net::HttpReply>& aReply);
--- a/include/ferrytray/relay/relay_host.hpp
+++ b/include/ferrytray/relay/relay_host.hpp
@@ -28,14 +28,14 @@
   FeedOptions m_feeds;
   rollout::RolloutOptions m_rollout;
   /// A balancer that asks once a second and needs two misses sends callers for so long.
-  base::Duration m_leaveAtLeast = std::chrono::milliseconds(3000);
+  base::Duration m_minDrainTime = std::chrono::milliseconds(3000);
   /// From then on nothing new is begun: what still arrives is refused at once, and connections on
   /// which nothing is being answered are closed, so that what was begun can end in time.
   /// Later than a balancer takes to notice, and no later than the 3 s after which the users'
   /// platform takes no excuse for a request that a stopping host began and did not finish.
-  base::Duration m_leaveRefuseAfter = std::chrono::milliseconds(2900);
+  base::Duration m_refuseNewAfter = std::chrono::milliseconds(2900);
   /// What is not finished then is broken off, before the platform kills the process.
-  base::Duration m_leaveAtMost = std::chrono::milliseconds(7500);
+  base::Duration m_maxDrainTime = std::chrono::milliseconds(7500);
 };
 
 /// @brief The outside of a host: what its decisions are carried out on.
@@ -58,19 +58,19 @@
   /// @brief Listens and begins. @return ListenFailed
   base::Result<void> Start();
   /// @brief Begins a planned stop; aDone is called when the process may end.
-  void Leave(std::function<void()> aDone);
+  void Shutdown(std::function<void()> aDone);
   [[nodiscard]] net::Address CallerAddress() const { return m_callers->ListenAddress(); }
   [[nodiscard]] net::Address ReadinessAddress() const { return m_readiness->ListenAddress(); }
 
 private:
   base::Result<void> Listen();
-  void OnReplaced(peers::IncarnationKey aKey);
+  void OnEndpointReplaced(peers::IncarnationKey aKey);
   /// Sets the gauges of what is still open in zones that are being evacuated.
-  void CountEvacuated();
-  [[nodiscard]] peers::EndpointLoads OwnLoads() const;
-  void OnReload(const rollout::PlannedReload& aReload);
+  void UpdateEvacuationGauges();
+  [[nodiscard]] peers::EndpointLoads LocalLoads() const;
+  void OnReloadPlanned(const rollout::PlannedReload& aReload);
   void AnswerReadiness(const std::shared_ptr<net::HttpReply>& aReply) const;
-  void CheckLeft();
+  void CheckShutdown();
   void StartQuarantine();
   /// The record log answers for the configuration and not for the quarantine.
   void ServeWithoutQuarantine();
@@ -92,13 +92,13 @@
   std::unique_ptr<net::HttpServer> m_callers;
   std::unique_ptr<net::HttpServer> m_readiness;
   std::unique_ptr<net::HttpServer> m_metrics;
-  net::TimerHandle m_leaveTimer;
-  bool m_tellsReloads = false; ///< soon
-  net::TimerHandle m_tellsCrashes;
-  net::TimerHandle m_aloneTimer;
-  net::TimerHandle m_withoutQuarantine;
-  base::TimePoint m_leavingSince{};
-  std::function<void()> m_onLeft;
+  net::TimerHandle m_shutdownTimer;
+  bool m_reloadNoticePending = false; ///< soon
+  net::TimerHandle m_crashNoticeTimer;
+  net::TimerHandle m_isolationTimer;
+  net::TimerHandle m_quarantineLoadTimer;
+  base::TimePoint m_stoppingSince{};
+  std::function<void()> m_onStopped;
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/admitted.hpp
+++ b/include/ferrytray/relay/route_match.hpp
@@ -5,7 +5,7 @@
 namespace ferrytray::relay {
 
 /// @brief What the configuration says of a request.
-struct Admitted
+struct RouteMatch
 {
   fleet::ConfigurationPtr m_configuration; ///< keeps the next two alive
   const fleet::Route* m_route = nullptr;
--- a/include/ferrytray/relay/state_feeds.hpp
+++ b/include/ferrytray/relay/state_feeds.hpp
@@ -47,19 +47,20 @@
   bool OnEndpointRecord(const store::Record& aRecord);
   /// It would take the place of a known endpoint and names a service that nobody declared. Of an id
   /// that is not known yet it is kept: the configuration that declares the service may come later.
-  [[nodiscard]] bool IsOfAnotherWriter(const fleet::Endpoint& aEndpoint) const;
+  [[nodiscard]] bool ConflictsWithKnownEndpoint(const fleet::Endpoint& aEndpoint) const;
   /// Whether a record says anything else than the one before it of its key.
-  bool TellsNews(const std::string& aKey, const fleet::Endpoint& aEndpoint);
+  bool UpdateLastRecord(const std::string& aKey, const fleet::Endpoint& aEndpoint);
   /// What this host learnt from its own requests goes with the incarnation.
   void ForgetEndpoint(const std::string& aIncarnation);
-  store::FollowEvents EventsFor(const std::string& aTopic);
+  store::FollowEvents MakeFollowEvents(const std::string& aTopic);
 
   RelayCore& m_core;
   const RecordFormat& m_format;
   std::shared_ptr<store::TopicFollower> m_operators;
   std::shared_ptr<store::TopicFollower> m_endpoints;
   std::function<void()> m_onConfigured;
-  std::unordered_map<std::string, fleet::Endpoint> m_told; ///< by key: its last readable record
+  std::unordered_map<std::string, fleet::Endpoint>
+    m_lastRecords; ///< by key: its last readable record
   bool m_operatorsLoaded = false;
   bool m_endpointsLoaded = false;
 };
--- a/include/ferrytray/relay/store_watch.hpp
+++ b/include/ferrytray/relay/store_watch.hpp
@@ -23,7 +23,7 @@
   /// @brief A configuration came into force.
   void OnConfiguration();
   /// @brief Whether this host reads from the stores itself.
-  void SetDirect(bool aDirect);
+  void SetReader(bool aIsReader);
   void Stop();
 
 private:
@@ -31,7 +31,7 @@
 
   RelayCore& m_core;
   cache::StoreFeed& m_feed;
-  bool m_direct = false;
+  bool m_isReader = false;
   std::map<std::string, std::shared_ptr<cache::StoreFollower>> m_followers; ///< by address
 };
 
--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -34,8 +34,8 @@
   RelayCore& m_core;
   PartFreer& m_freer;
   cache::StoreUpkeep m_upkeep;
-  std::vector<cache::FreeParts> m_due;
-  base::TimePoint m_lookedAt{};
+  std::vector<cache::FreeParts> m_pendingFrees;
+  base::TimePoint m_plannedAt{};
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/wire_format.hpp
+++ b/include/ferrytray/relay/wire_format.hpp
@@ -9,7 +9,7 @@
 namespace ferrytray::relay {
 
 /// @brief An answer that the system gives itself.
-struct OwnAnswer
+struct GeneratedReply
 {
   int m_status = 503;
   net::Headers m_headers;
@@ -28,8 +28,8 @@
                                                      const EndpointCall& aCall) const = 0;
   [[nodiscard]] virtual ReplyHead ReadHead(int aStatus, const net::Headers& aHeaders) const = 0;
   /// @brief A refusal or failure of the system's own.
-  [[nodiscard]] virtual OwnAnswer WriteFailure(const std::string& aRequestId,
-                                               const base::Failure& aFailure) const = 0;
+  [[nodiscard]] virtual GeneratedReply WriteFailure(const std::string& aRequestId,
+                                                    const base::Failure& aFailure) const = 0;
 };
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/attempt_policy.cpp
+++ b/src/ferrytray/relay/attempt_policy.cpp
@@ -2,44 +2,44 @@
 
 namespace ferrytray::relay {
 
-std::string_view ToString(AttemptEnd aEnd)
+std::string_view ToString(AttemptOutcome aOutcome)
 {
-  switch (aEnd) {
-    case AttemptEnd::NotSent:
+  switch (aOutcome) {
+    case AttemptOutcome::NotSent:
       return "not_sent";
-    case AttemptEnd::NotRun:
+    case AttemptOutcome::NotRun:
       return "not_run";
-    case AttemptEnd::Failure:
+    case AttemptOutcome::ErrorReply:
       return "failure";
-    case AttemptEnd::Broken:
+    case AttemptOutcome::Broken:
       break;
   }
   return "broken";
 }
 
-bool MayTryAgain(const AttemptFacts& aFacts, const AttemptLimits& aLimits)
+bool MayRetry(const RetryContext& aContext, const AttemptLimits& aLimits)
 {
-  if (aFacts.m_sends >= aLimits.m_maxSends || aFacts.m_left < aLimits.m_leastLeft) {
+  if (aContext.m_sends >= aLimits.m_maxSends || aContext.m_remaining < aLimits.m_minRemaining) {
     return false;
   }
-  if (aFacts.m_ranOn >= aFacts.m_maxEndpoints) {
+  if (aContext.m_endpointsUsed >= aContext.m_maxEndpoints) {
     return false;
   }
-  return aFacts.m_repeatable || !aFacts.m_mayHaveRun;
+  return aContext.m_repeatable || !aContext.m_mayHaveRun;
 }
 
-NextStep DecideNext(const AttemptFacts& aFacts, bool aTryAgain)
+NextStep DecideNextStep(const RetryContext& aContext, bool aRetryGranted)
 {
-  if (aTryAgain) {
-    return NextStep::TryElsewhere;
+  if (aRetryGranted) {
+    return NextStep::Retry;
   }
-  if (aFacts.m_answerBegan) {
-    return NextStep::BreakOff;
+  if (aContext.m_replyStarted) {
+    return NextStep::AbortReply;
   }
-  if (aFacts.m_end == AttemptEnd::Failure && aFacts.m_forwardable) {
-    return NextStep::Forward;
+  if (aContext.m_outcome == AttemptOutcome::ErrorReply && aContext.m_forwardable) {
+    return NextStep::ForwardReply;
   }
-  return aFacts.m_mayHaveRun ? NextStep::Fail : NextStep::Refuse;
+  return aContext.m_mayHaveRun ? NextStep::FailUnknown : NextStep::Refuse;
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/attempt_policy_test.cpp
+++ b/src/ferrytray/relay/attempt_policy_test.cpp
@@ -4,23 +4,24 @@
 
 using namespace ferrytray;
 using namespace std::chrono_literals;
-using relay::AttemptEnd;
-using relay::AttemptFacts;
-using relay::DecideNext;
+using relay::AttemptOutcome;
+using relay::DecideNextStep;
 using relay::NextStep;
+using relay::RetryContext;
 
 namespace {
 
-AttemptFacts Facts(AttemptEnd aEnd, bool aRepeatable)
+RetryContext ContextFor(AttemptOutcome aOutcome, bool aRepeatable)
 {
-  AttemptFacts facts;
-  facts.m_end = aEnd;
-  facts.m_repeatable = aRepeatable;
-  facts.m_mayHaveRun = aEnd == AttemptEnd::Broken || aEnd == AttemptEnd::Failure;
-  facts.m_ranOn = facts.m_mayHaveRun ? 1 : 0;
-  facts.m_maxEndpoints = 2;
-  facts.m_left = 1s;
-  return facts;
+  RetryContext context;
+  context.m_outcome = aOutcome;
+  context.m_repeatable = aRepeatable;
+  context.m_mayHaveRun =
+    aOutcome == AttemptOutcome::Broken || aOutcome == AttemptOutcome::ErrorReply;
+  context.m_endpointsUsed = context.m_mayHaveRun ? 1 : 0;
+  context.m_maxEndpoints = 2;
+  context.m_remaining = 1s;
+  return context;
 }
 
 void CheckStep(NextStep aExpected, NextStep aStep)
@@ -32,50 +33,51 @@
 
 TEST_GROUP(AttemptPolicy){};
 
-TEST(AttemptPolicy, WhatMayHaveRunIsTriedAgainOnlyIfItMayRunTwice)
+TEST(AttemptPolicy, PossiblyExecutedRequestIsRetriedOnlyIfRepeatable)
 {
-  CHECK_FALSE(relay::MayTryAgain(Facts(AttemptEnd::Broken, false), {}));
-  CHECK(relay::MayTryAgain(Facts(AttemptEnd::Broken, true), {}));
-  CHECK(relay::MayTryAgain(Facts(AttemptEnd::NotRun, false), {}));
-  CHECK(relay::MayTryAgain(Facts(AttemptEnd::NotSent, false), {}));
+  CHECK_FALSE(relay::MayRetry(ContextFor(AttemptOutcome::Broken, false), {}));
+  CHECK(relay::MayRetry(ContextFor(AttemptOutcome::Broken, true), {}));
+  CHECK(relay::MayRetry(ContextFor(AttemptOutcome::NotRun, false), {}));
+  CHECK(relay::MayRetry(ContextFor(AttemptOutcome::NotSent, false), {}));
 }
 
-TEST(AttemptPolicy, ARefusalAfterARunDoesNotMakeItNotRun)
+TEST(AttemptPolicy, RefusalAfterPossibleExecutionIsReportedAsUnknown)
 {
-  AttemptFacts facts = Facts(AttemptEnd::NotRun, true);
-  facts.m_mayHaveRun = true;
-  CheckStep(NextStep::Fail, DecideNext(facts, false));
+  RetryContext context = ContextFor(AttemptOutcome::NotRun, true);
+  context.m_mayHaveRun = true;
+  CheckStep(NextStep::FailUnknown, DecideNextStep(context, false));
 }
 
-TEST(AttemptPolicy, RunsOnNoMoreEndpointsThanTheRouteAllows)
+TEST(AttemptPolicy, RespectsRouteMaxEndpoints)
 {
-  AttemptFacts facts = Facts(AttemptEnd::Failure, true);
-  facts.m_ranOn = 2;
-  CHECK_FALSE(relay::MayTryAgain(facts, {}));
+  RetryContext context = ContextFor(AttemptOutcome::ErrorReply, true);
+  context.m_endpointsUsed = 2;
+  CHECK_FALSE(relay::MayRetry(context, {}));
 }
 
-TEST(AttemptPolicy, NoSendIsWorthItShortlyBeforeTheAnswerIsDue)
+TEST(AttemptPolicy, DoesNotRetryBelowMinimumRemainingTime)
 {
-  AttemptFacts facts = Facts(AttemptEnd::NotSent, true);
-  facts.m_left = 59ms;
-  CHECK_FALSE(relay::MayTryAgain(facts, {}));
+  RetryContext context = ContextFor(AttemptOutcome::NotSent, true);
+  context.m_remaining = 59ms;
+  CHECK_FALSE(relay::MayRetry(context, {}));
 }
 
-TEST(AttemptPolicy, FinalAnswersAreTruthful)
+TEST(AttemptPolicy, FinalStepReflectsExecutionState)
 {
-  CheckStep(NextStep::Refuse, DecideNext(Facts(AttemptEnd::NotSent, false), false));
-  CheckStep(NextStep::Refuse, DecideNext(Facts(AttemptEnd::NotRun, false), false));
-  CheckStep(NextStep::Fail, DecideNext(Facts(AttemptEnd::Broken, false), false));
-  AttemptFacts failure = Facts(AttemptEnd::Failure, false);
-  CheckStep(NextStep::Fail, DecideNext(failure, false));
+  CheckStep(NextStep::Refuse, DecideNextStep(ContextFor(AttemptOutcome::NotSent, false), false));
+  CheckStep(NextStep::Refuse, DecideNextStep(ContextFor(AttemptOutcome::NotRun, false), false));
+  CheckStep(NextStep::FailUnknown,
+            DecideNextStep(ContextFor(AttemptOutcome::Broken, false), false));
+  RetryContext failure = ContextFor(AttemptOutcome::ErrorReply, false);
+  CheckStep(NextStep::FailUnknown, DecideNextStep(failure, false));
   failure.m_forwardable = true;
-  CheckStep(NextStep::Forward, DecideNext(failure, false));
+  CheckStep(NextStep::ForwardReply, DecideNextStep(failure, false));
 }
 
-TEST(AttemptPolicy, AnAnswerThatBeganIsBrokenOffNotEnded)
+TEST(AttemptPolicy, StartedReplyIsAbortedOrResumed)
 {
-  AttemptFacts facts = Facts(AttemptEnd::Broken, true);
-  facts.m_answerBegan = true;
-  CheckStep(NextStep::BreakOff, DecideNext(facts, false));
-  CheckStep(NextStep::TryElsewhere, DecideNext(facts, true));
+  RetryContext context = ContextFor(AttemptOutcome::Broken, true);
+  context.m_replyStarted = true;
+  CheckStep(NextStep::AbortReply, DecideNextStep(context, false));
+  CheckStep(NextStep::Retry, DecideNextStep(context, true));
 }
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -9,7 +9,7 @@
 
 const std::string& CallPlanner::PickService()
 {
-  const std::vector<fleet::ServiceShare>& shares = m_admitted.m_route->m_services;
+  const std::vector<fleet::ServiceShare>& shares = m_routeMatch.m_route->m_services;
   std::uint64_t total = 0;
   for (const fleet::ServiceShare& share : shares) {
     total += share.m_weight;
@@ -25,35 +25,38 @@
 }
 
 Target CallPlanner::PickTarget(const std::string& aService,
-                               const std::set<std::string>& aTried,
+                               const std::set<std::string>& aExcluded,
                                const Assignment& aAssigned)
 {
-  const fleet::Service* service = m_admitted.m_configuration->FindService(aService);
-  std::optional<PromptNeeds> needs;
+  const fleet::Service* service = m_routeMatch.m_configuration->FindService(aService);
+  std::optional<PromptRequirements> needs;
   if (m_request.m_prompt) {
-    needs = PromptNeeds{ m_request.m_prompt->m_model, m_request.m_prompt->m_inputTokens };
+    needs = PromptRequirements{ m_request.m_prompt->m_model, m_request.m_prompt->m_inputTokens };
   }
-  const Candidates candidates = CandidatesFor(m_core,
-                                              aService,
-                                              service,
-                                              needs,
-                                              aTried,
-                                              routing::ColdUse::Own,
-                                              aAssigned.m_engine,
-                                              base::MonotonicNow());
+  const Candidates candidates = FindCandidates(m_core,
+                                               aService,
+                                               service,
+                                               needs,
+                                               aExcluded,
+                                               routing::ColdUse::Own,
+                                               aAssigned.m_engine,
+                                               base::MonotonicNow());
   const std::vector<const fleet::Endpoint*>& endpoints = candidates.m_endpoints;
-  const std::vector<routing::PlacementCandidate>& places = candidates.m_places;
+  const std::vector<routing::PlacementCandidate>& places = candidates.m_placements;
   if (!m_request.m_prompt) {
     const auto chosen = routing::PlaceAnywhere(places, m_core.m_random());
     return chosen ? Target{ endpoints[*chosen], "", places[*chosen].m_work, false } : Target{};
   }
   for (std::size_t i = 0; i < places.size(); ++i) {
     if (places[i].m_name == aAssigned.m_engine && !places[i].m_avoided) {
-      const fleet::Endpoint* holder = m_core.m_directory.Find(aAssigned.m_holder);
-      return { endpoints[i], holder == nullptr ? "" : holder->m_address, places[i].m_work, false };
+      const fleet::Endpoint* cacheHolder = m_core.m_directory.Find(aAssigned.m_cacheHolder);
+      return {
+        endpoints[i], cacheHolder == nullptr ? "" : cacheHolder->m_address, places[i].m_work, false
+      };
     }
   }
-  const auto place = m_core.m_placement.Place(*m_request.m_prompt, m_admitted.m_account, places);
+  const auto place =
+    m_core.m_promptPlacement.Place(*m_request.m_prompt, m_routeMatch.m_account, places);
   if (!place) {
     return {};
   }
@@ -64,9 +67,9 @@
            places[place->m_chosen].m_full };
 }
 
-bool CallPlanner::IsLong(const std::string& aService) const
+bool CallPlanner::IsLongPrompt(const std::string& aService) const
 {
-  const fleet::Service* service = m_admitted.m_configuration->FindService(aService);
+  const fleet::Service* service = m_routeMatch.m_configuration->FindService(aService);
   return m_request.m_prompt && service != nullptr && service->m_engine &&
          routing::SizeOf(m_request.m_prompt->m_inputTokens, service->m_engine->m_kvTokens) ==
            routing::PromptSize::Long;
@@ -74,37 +77,38 @@
 
 std::uint32_t CallPlanner::RankOf(const std::string& aService) const
 {
-  const fleet::ClientAccount* account = m_admitted.m_account;
+  const fleet::ClientAccount* account = m_routeMatch.m_account;
   const std::uint32_t priority = account != nullptr && account->m_priority
                                    ? *account->m_priority
-                                   : m_admitted.m_route->m_priority;
+                                   : m_routeMatch.m_route->m_priority;
   // Of equal priority, short prompts go first: they cost the long ones tens of milliseconds, the
   // other way round it would be seconds.
-  return 2 * priority + (IsLong(aService) ? 1 : 0);
+  return 2 * priority + (IsLongPrompt(aService) ? 1 : 0);
 }
 
-EndpointCall CallPlanner::CallTo(const Target& aTarget,
-                                 base::Duration aLeft,
-                                 std::optional<std::uint64_t> aResumeAfter)
+EndpointCall CallPlanner::BuildCall(const Target& aTarget,
+                                    base::Duration aRemaining,
+                                    std::optional<std::uint64_t> aResumeAfter)
 {
   const fleet::Endpoint& endpoint = *aTarget.m_endpoint;
   EndpointCall call;
   call.m_address = endpoint.m_address;
   call.m_endpointId = endpoint.m_id;
-  call.m_remaining = aLeft;
-  call.m_account = m_admitted.m_account == nullptr ? "" : m_admitted.m_account->m_name;
+  call.m_remaining = aRemaining;
+  call.m_account = m_routeMatch.m_account == nullptr ? "" : m_routeMatch.m_account->m_name;
   call.m_resumeAfter = aResumeAfter;
-  call.m_repeatable = m_admitted.m_route->Repeatable();
-  call.m_maxIdle = m_core.m_board.MaxIdle(endpoint.m_incarnation);
+  call.m_repeatable = m_routeMatch.m_route->Repeatable();
+  call.m_maxIdle = m_core.m_endpointBoard.MaxIdle(endpoint.m_incarnation);
   if (m_request.m_prompt) {
     call.m_rank = RankOf(endpoint.m_service);
     const std::string& model = m_request.m_prompt->m_model;
     const auto weights = endpoint.m_weights.find(model);
     if (weights != endpoint.m_weights.end()) {
       call.m_weights = weights->second;
-      call.m_cacheScope = PromptPlacement::CacheScope(model, weights->second, m_admitted.m_account);
+      call.m_cacheScope =
+        PromptPlacement::CacheScope(model, weights->second, m_routeMatch.m_account);
       const std::vector<cache::PlannedPart> parts = PlannedParts();
-      call.m_parts = PlanParts(parts, call.m_cacheScope, aTarget.m_home);
+      call.m_parts = PlanParts(parts, call.m_cacheScope, aTarget.m_partSource);
       call.m_tokensByFate = call.m_parts.Tokens(parts);
     } else {
       // Nobody else finds what was made on weights that this host does not know.
@@ -125,12 +129,13 @@
 
 cache::PartPlan CallPlanner::PlanParts(std::span<const cache::PlannedPart> aParts,
                                        const std::string& aScope,
-                                       const std::string& aHome)
+                                       const std::string& aPartSource)
 {
-  const double within =
-    base::Seconds(m_admitted.m_route->m_targetLatency) * m_core.m_options.m_fetchShare;
-  return m_core.m_parts.Plan(
-    { aParts, aScope, aHome, base::FromSeconds(within) }, m_core.m_stores, base::MonotonicNow());
+  const double fetchBudget =
+    base::Seconds(m_routeMatch.m_route->m_targetLatency) * m_core.m_options.m_fetchShare;
+  return m_core.m_partPlanner.Plan({ aParts, aScope, aPartSource, base::FromSeconds(fetchBudget) },
+                                   m_core.m_stores,
+                                   base::MonotonicNow());
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/cold_engines.cpp
+++ b/src/ferrytray/relay/cold_engines.cpp
@@ -4,14 +4,14 @@
 
 namespace ferrytray::relay {
 
-const fleet::ColdTraits* ColdTraitsOf(const RelayCore& aCore, const std::string& aService)
+const fleet::ColdTraits* FindColdTraits(const RelayCore& aCore, const std::string& aService)
 {
   const fleet::Service* service =
     aCore.m_configuration ? aCore.m_configuration->FindService(aService) : nullptr;
   return service == nullptr || !service->m_cold ? nullptr : &*service->m_cold;
 }
 
-double BearableRate(const RelayCore& aCore, const fleet::ColdTraits& aTraits)
+double ColdRateLimit(const RelayCore& aCore, const fleet::ColdTraits& aTraits)
 {
   const RelayOptions& options = aCore.m_options;
   // A bound under what the endpoint itself bears goes first.
@@ -19,37 +19,38 @@
                   aTraits.m_perSecond * options.m_coldOvershoot + options.m_coldSlack);
 }
 
-bool MaySendCold(const RelayCore& aCore,
-                 const fleet::Endpoint& aEndpoint,
-                 routing::ColdUse aUse,
-                 base::TimePoint aNow)
+bool MaySendToCold(const RelayCore& aCore,
+                   const fleet::Endpoint& aEndpoint,
+                   routing::ColdUse aUse,
+                   base::TimePoint aNow)
 {
   const std::string& name = aEndpoint.m_incarnation;
-  if (!aCore.m_cold.IsCold(name, aNow) || ColdTraitsOf(aCore, aEndpoint.m_service) == nullptr) {
+  if (!aCore.m_coldStarts.IsCold(name, aNow) ||
+      FindColdTraits(aCore, aEndpoint.m_service) == nullptr) {
     return true;
   }
-  if (!aCore.m_cold.MaySend(name, aUse, aNow)) {
+  if (!aCore.m_coldStarts.MaySend(name, aUse, aNow)) {
     return false;
   }
   return aUse == routing::ColdUse::Assigned ||
-         (aCore.m_isAmongHosts && aCore.m_isAmongHosts(name, aCore.m_cold.Hosts()));
+         (aCore.m_isAmongFirstHosts && aCore.m_isAmongFirstHosts(name, aCore.m_coldStarts.Hosts()));
 }
 
-void NoteColdSend(RelayCore& aCore,
-                  const fleet::Endpoint& aEndpoint,
-                  routing::ColdUse aUse,
-                  base::TimePoint aNow)
+void RecordColdSend(RelayCore& aCore,
+                    const fleet::Endpoint& aEndpoint,
+                    routing::ColdUse aUse,
+                    base::TimePoint aNow)
 {
-  const fleet::ColdTraits* traits = ColdTraitsOf(aCore, aEndpoint.m_service);
-  if (traits != nullptr && aCore.m_cold.IsCold(aEndpoint.m_incarnation, aNow)) {
-    aCore.m_cold.OnSent(aEndpoint.m_incarnation, aUse, BearableRate(aCore, *traits), aNow);
+  const fleet::ColdTraits* traits = FindColdTraits(aCore, aEndpoint.m_service);
+  if (traits != nullptr && aCore.m_coldStarts.IsCold(aEndpoint.m_incarnation, aNow)) {
+    aCore.m_coldStarts.OnSent(aEndpoint.m_incarnation, aUse, ColdRateLimit(aCore, *traits), aNow);
   }
 }
 
 void SuspectColdStart(RelayCore& aCore, const fleet::Endpoint& aEndpoint, base::TimePoint aNow)
 {
-  if (const fleet::ColdTraits* traits = ColdTraitsOf(aCore, aEndpoint.m_service)) {
-    aCore.m_cold.OnSuspected(aEndpoint.m_incarnation, traits->m_for, aNow);
+  if (const fleet::ColdTraits* traits = FindColdTraits(aCore, aEndpoint.m_service)) {
+    aCore.m_coldStarts.OnSuspected(aEndpoint.m_incarnation, traits->m_for, aNow);
   }
 }
 
--- a/src/ferrytray/relay/event_splitter.cpp
+++ b/src/ferrytray/relay/event_splitter.cpp
@@ -34,15 +34,15 @@
 
 } // namespace
 
-EventSplitter::Whole EventSplitter::Feed(std::string_view aBytes)
+EventSplitter::CompleteEvents EventSplitter::Feed(std::string_view aBytes)
 {
-  m_rest.append(aBytes);
-  Whole whole;
+  m_buffer.append(aBytes);
+  CompleteEvents whole;
   std::size_t start = 0;
-  for (std::size_t end = m_rest.find(kEnd); end != std::string::npos;
-       end = m_rest.find(kEnd, start)) {
+  for (std::size_t end = m_buffer.find(kEnd); end != std::string::npos;
+       end = m_buffer.find(kEnd, start)) {
     const std::size_t next = end + kEnd.size();
-    const std::string_view event = std::string_view(m_rest).substr(start, next - start);
+    const std::string_view event = std::string_view(m_buffer).substr(start, next - start);
     const std::optional<std::uint64_t> id = IdOf(event);
     const bool known = id && m_skipThrough && *id <= *m_skipThrough;
     if (!known) {
@@ -51,7 +51,7 @@
     }
     start = next;
   }
-  m_rest.erase(0, start);
+  m_buffer.erase(0, start);
   return whole;
 }
 
--- a/src/ferrytray/relay/event_splitter_test.cpp
+++ b/src/ferrytray/relay/event_splitter_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(EventSplitter){};
 
-TEST(EventSplitter, PassesWholeEventsOnlyHoweverTheBytesCome)
+TEST(EventSplitter, EmitsOnlyCompleteEventsForAnySplit)
 {
   const std::string stream = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -15,26 +15,26 @@
     CHECK(first.m_bytes.empty() || first.m_bytes.ends_with("\n\n"));
     auto second = splitter.Feed(std::string_view(stream).substr(cut));
     STRCMP_EQUAL(stream.c_str(), (first.m_bytes + second.m_bytes).c_str());
-    CHECK(splitter.Rest().empty());
+    CHECK(splitter.Remainder().empty());
   }
 }
 
-TEST(EventSplitter, TellsTheLastIdAndKeepsWhatIsCutShort)
+TEST(EventSplitter, ReportsLastIdAndBuffersPartialEvent)
 {
   relay::EventSplitter splitter;
   const auto whole = splitter.Feed("weight-versions: 2\nid: 7\ndata: a\n\nid: 8\nda");
   CHECK(whole.m_lastId == std::optional<std::uint64_t>(7));
-  STRCMP_EQUAL("id: 8\nda", splitter.Rest().c_str());
+  STRCMP_EQUAL("id: 8\nda", splitter.Remainder().c_str());
 }
 
-TEST(EventSplitter, LeavesOutWhatTheCallerHas)
+TEST(EventSplitter, SkipsEventsUpToResumeId)
 {
   relay::EventSplitter splitter(2);
   const auto whole = splitter.Feed("id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   STRCMP_EQUAL("id: 3\ndata: c\n\n", whole.m_bytes.c_str());
 }
 
-TEST(EventSplitter, AnEventWithoutIdIsPassedOn)
+TEST(EventSplitter, ForwardsEventWithoutId)
 {
   relay::EventSplitter splitter(2);
   STRCMP_EQUAL("data: x\n\n", splitter.Feed("data: x\n\n").m_bytes.c_str());
--- a/src/ferrytray/relay/exchange_admission_test.cpp
+++ b/src/ferrytray/relay/exchange_admission_test.cpp
@@ -15,9 +15,9 @@
 
 // Load: a zone is cut off, and a quarter of all sends end without a connection. Their repeats must
 // not use up the budget, nor be refused when it is spent.
-TEST(ExchangeAdmission, WhatReachedNobodyIsSentElsewhereThoughTheBudgetOfRepeatsIsSpent)
+TEST(ExchangeAdmission, UnsentAttemptIsRetriedDespiteExhaustedRetryBudget)
 {
-  while (m_core.m_retries.TryRepeat("s", base::MonotonicNow())) {
+  while (m_core.m_retryWindow.TryRepeat("s", base::MonotonicNow())) {
   }
   const auto reply = Ask("/once/x");
   m_client.End(WireEnd::NotSent);
@@ -28,13 +28,13 @@
   LONGS_EQUAL(503, reply->m_status);
 }
 
-TEST(ExchangeAdmission, ALongPromptIsRefusedAtOnceWhenItsEnginesMemoryIsTaken)
+TEST(ExchangeAdmission, RefusesLongPromptWhenEngineMemoryIsFull)
 {
   const auto taken = static_cast<std::uint16_t>(kEngineMemory / routing::kTokensPerWork);
-  m_core.m_otherLoads.OnReport("other",
-                               peers::LoadScope::Own,
-                               { { peers::TagOf("a"), taken }, { peers::TagOf("b"), taken } },
-                               base::MonotonicNow());
+  m_core.m_peerLoads.OnReport("other",
+                              peers::LoadScope::Own,
+                              { { peers::TagOf("a"), taken }, { peers::TagOf("b"), taken } },
+                              base::MonotonicNow());
   const auto refused = Ask("/stream/x", "k", "long");
   LONGS_EQUAL(503, refused->m_status);
   STRCMP_EQUAL("not_run", refused->Header("run").c_str());
@@ -44,7 +44,7 @@
   LONGS_EQUAL(1, m_client.m_calls.size());
 }
 
-TEST(ExchangeAdmission, OfEqualPriorityShortPromptsRankBeforeLongOnes)
+TEST(ExchangeAdmission, ShortPromptsRankBeforeLongOnesOfEqualPriority)
 {
   Ask("/stream/x", "k", "m");
   STRCMP_EQUAL("0", Sent("rank").c_str());
@@ -56,7 +56,7 @@
 
 // Load: more long prompts come at once than the engines that are left can hold. Those that are sent
 // fit; the others are refused without having cost anything.
-TEST(ExchangeAdmission, ABurstOfLongPromptsIsSentAsFarAsMemoryGoes)
+TEST(ExchangeAdmission, LongPromptBurstIsLimitedByEngineMemory)
 {
   constexpr int kBurst = 40;
   int refused = 0;
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -13,7 +13,7 @@
 
 // Seen: one request ended an engine after the other; it came again as another request each time,
 // and each was sent on. An exchange knew its own sends only.
-TEST(ExchangeQuarantine, ARequestUnderWhichThreeEndpointsBrokeOffIsNotSentAnyMore)
+TEST(ExchangeQuarantine, RequestIsQuarantinedAfterThreeEndpointCrashes)
 {
   for (const char* name : { "c", "d", "e", "f" }) {
     m_core.m_directory.Upsert(EndpointOf(name), base::MonotonicNow());
@@ -34,7 +34,7 @@
   LONGS_EQUAL(sent + 2, m_client.m_calls.size());
 }
 
-TEST(ExchangeQuarantine, ARequestThatIsKnownToEndEndpointsIsNotRepeatedByTheHostItself)
+TEST(ExchangeQuarantine, QuarantinedRequestIsNotRetried)
 {
   const base::TimePoint now = base::MonotonicNow();
   const auto reply = Ask("/again/x", "k", "", "bad");
@@ -46,7 +46,7 @@
   LONGS_EQUAL(502, reply->m_status);
 }
 
-TEST(ExchangeQuarantine, SilenceAndLeavingEndpointsAndTheEndpointsOwnAnswersBlameNoRequest)
+TEST(ExchangeQuarantine, TimeoutsErrorRepliesAndLeavingEndpointsAreNotCrashes)
 {
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   Ask("/once/x", "k", "", "b");
@@ -68,7 +68,7 @@
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
 
-TEST(ExchangeQuarantine, AWholeAnswerClearsARequestAndAnEndpointThatAnswersHasNotEnded)
+TEST(ExchangeQuarantine, CompleteReplyClearsRequestAndEndpointSuspicion)
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
@@ -83,41 +83,41 @@
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
 
-TEST(ExchangeQuarantine, UntilItIsKnownWhichRequestsEndEndpointsNothingIsSent)
+TEST(ExchangeQuarantine, NothingIsSentBeforeQuarantineIsLoaded)
 {
   m_core.m_crashesLoaded = false;
   LONGS_EQUAL(503, Ask("/once/x")->m_status);
   LONGS_EQUAL(0, m_client.m_calls.size());
 }
 
-TEST(ExchangeQuarantine, ARequestThatIsKeptAwayIsSentOnceMoreIfAllHostsAgree)
+TEST(ExchangeQuarantine, QuarantinedRequestIsProbedOnceWhenClaimIsGranted)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
     m_core.m_crashes.OnBroken(key, end, before, before);
   }
-  bool may = false;
-  m_core.m_claimTry = [&](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
-    aDone(may);
+  bool granted = false;
+  m_core.m_claimProbe = [&](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+    aDone(granted);
   };
   LONGS_EQUAL(503, Ask("/again/x", "k", "", "b")->m_status);
   LONGS_EQUAL(0, m_client.m_calls.size());
-  may = true;
+  granted = true;
   Ask("/again/x", "k", "", "b");
   m_client.End(WireEnd::NoReply); // it ends this one, too: the host does not repeat it
   LONGS_EQUAL(1, m_client.m_calls.size());
   CHECK(m_core.m_crashes.IsQuarantined(key));
 }
 
-TEST(ExchangeQuarantine, AWholeAnswerToOneThatWasSentOnceMoreClearsAll)
+TEST(ExchangeQuarantine, SuccessfulProbeEndsQuarantine)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
     m_core.m_crashes.OnBroken(key, end, before, before);
   }
-  m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+  m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
   const auto reply = Ask("/again/x", "k", "", "b");
@@ -131,7 +131,7 @@
 // them. It is asked often, so it was sent to endpoints that other requests had ended before and
 // whose addresses closed each connection at once; its one further send met one of these, too, and
 // broke off within 2 ms. Proved by the hosts' logs of that run of real processes.
-TEST(ExchangeQuarantine, AnEndpointThatHadEndedBeforeItWasSentBlamesNoRequest)
+TEST(ExchangeQuarantine, BrokenSendToCrashedEndpointIsNotAttributedToRequest)
 {
   const base::TimePoint before = base::MonotonicNow() - 1s;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
@@ -143,12 +143,12 @@
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
 
-TEST(ExchangeQuarantine, WhatIsSentOnceMoreGoesToAnEndpointThatHasNotEnded)
+TEST(ExchangeQuarantine, ProbeAvoidsCrashedEndpoints)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
   m_core.m_crashes.OnBroken(other, peers::KeyOf("a"), before, before);
-  m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+  m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
   for (const char* body : { "b", "c", "d", "e", "f", "g" }) {
@@ -163,14 +163,14 @@
   }
 }
 
-TEST(ExchangeQuarantine, WhatIsSentOnceMoreWaitsForAnEndpointThatHasJustAnswered)
+TEST(ExchangeQuarantine, ProbeWaitsForEndpointWithRecentReply)
 {
   const base::TimePoint before = base::MonotonicNow() - 6s;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
     m_core.m_crashes.OnBroken(key, end, before, before);
   }
-  m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+  m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
   LONGS_EQUAL(503, Ask("/once/x", "k", "", "b")->m_status);
@@ -186,7 +186,7 @@
 
 // Each host found out by a request of its own that an endpoint had ended; what may not run twice
 // then failed. The ends that hosts tell each other for the quarantine say so, too.
-TEST(ExchangeQuarantine, AnEndpointThatBrokeOffForAnotherHostIsAvoidedForAWhile)
+TEST(ExchangeQuarantine, EndpointCrashReportedByPeerIsAvoided)
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
@@ -198,7 +198,7 @@
   }
 }
 
-TEST(ExchangeQuarantine, AnEndpointThatBrokeOffLongAgoIsUsed)
+TEST(ExchangeQuarantine, EndpointIsUsedAgainAfterCrashExpires)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -15,106 +15,111 @@
     return;
   }
   ReplyHead head = m_core.m_format.ReadHead(aStatus, aHeaders);
-  m_attempt->m_foreign = head.m_requestId != m_request.m_id;
-  if (!m_attempt->m_foreign) {
-    Learn(head);
+  m_attempt->m_invalidReply = head.m_requestId != m_request.m_id;
+  if (!m_attempt->m_invalidReply) {
+    UpdateEndpointState(head);
   }
   m_attempt->m_head = std::move(head);
 }
 
-void Exchange::Learn(const ReplyHead& aHead)
+void Exchange::UpdateEndpointState(const ReplyHead& aHead)
 {
-  m_core.m_board.OnReply(m_attempt->m_endpoint, base::MonotonicNow());
+  m_core.m_endpointBoard.OnReply(m_attempt->m_incarnation, base::MonotonicNow());
   if (aHead.m_idleTimeout) {
-    m_core.m_board.OnIdleTimeout(m_attempt->m_endpoint, *aHead.m_idleTimeout);
+    m_core.m_endpointBoard.OnIdleTimeout(m_attempt->m_incarnation, *aHead.m_idleTimeout);
   }
   if (m_request.m_prompt && aHead.m_weights) {
     m_core.m_directory.NoteWeights(
-      m_attempt->m_endpoint, m_request.m_prompt->m_model, *aHead.m_weights);
+      m_attempt->m_incarnation, m_request.m_prompt->m_model, *aHead.m_weights);
   }
   const bool otherWeights =
     aHead.m_misdirected && m_attempt->m_weights && !aHead.m_weights &&
     (aHead.m_endpointId.empty() || aHead.m_endpointId == m_attempt->m_endpointId);
   if (otherWeights) {
     const std::string& model = m_request.m_prompt->m_model;
-    const auto wanted = m_core.m_wanted.find(model);
-    const fleet::WeightVersion newest = wanted == m_core.m_wanted.end() ? 0 : wanted->second;
+    const auto desired = m_core.m_desiredWeights.find(model);
+    const fleet::WeightVersion newest =
+      desired == m_core.m_desiredWeights.end() ? 0 : desired->second;
     m_core.m_directory.NoteOtherWeights(
-      m_attempt->m_endpoint, model, *m_attempt->m_weights, newest);
+      m_attempt->m_incarnation, model, *m_attempt->m_weights, newest);
   }
   const bool replaced = aHead.m_misdirected && !aHead.m_endpointId.empty() &&
                         aHead.m_endpointId != m_attempt->m_endpointId;
   if (!replaced) {
-    m_core.m_crashes.OnReply(peers::KeyOf(m_attempt->m_endpoint), m_attempt->m_sentAt);
+    m_core.m_crashes.OnReply(peers::KeyOf(m_attempt->m_incarnation), m_attempt->m_sentAt);
   }
   if (replaced) {
     telemetry::LogLine("endpoint_gone")
-      .Add("endpoint", m_attempt->m_endpoint)
+      .Add("endpoint", m_attempt->m_incarnation)
       .Add("address_now_of", aHead.m_endpointId);
-    m_core.m_directory.MarkGone(m_attempt->m_endpoint);
-    if (m_core.m_onReplaced) {
-      m_core.m_onReplaced(m_attempt->m_endpoint);
+    m_core.m_directory.MarkGone(m_attempt->m_incarnation);
+    if (m_core.m_onEndpointReplaced) {
+      m_core.m_onEndpointReplaced(m_attempt->m_incarnation);
     }
   }
 }
 
 bool Exchange::IsSuccess(const Attempt& aAttempt) const
 {
-  return aAttempt.m_head && !aAttempt.m_foreign && aAttempt.m_head->m_signed &&
+  return aAttempt.m_head && !aAttempt.m_invalidReply && aAttempt.m_head->m_signed &&
          aAttempt.m_head->Succeeds();
 }
 
 void Exchange::OnData(std::string_view aPiece)
 {
-  if (!m_attempt || m_attempt->m_foreign) {
+  if (!m_attempt || m_attempt->m_invalidReply) {
     return;
   }
-  if (m_admitted.m_route->m_streaming && IsSuccess(*m_attempt)) {
-    EventSplitter::Whole whole = m_attempt->m_events.Feed(aPiece);
-    m_lastEvent = whole.m_lastId ? whole.m_lastId : m_lastEvent;
-    PassEvents(std::move(whole.m_bytes));
+  if (m_routeMatch.m_route->m_streaming && IsSuccess(*m_attempt)) {
+    EventSplitter::CompleteEvents whole = m_attempt->m_eventSplitter.Feed(aPiece);
+    m_lastEventId = whole.m_lastId ? whole.m_lastId : m_lastEventId;
+    ForwardEvents(std::move(whole.m_bytes));
     return;
   }
-  if (m_attempt->m_body.size() + aPiece.size() > m_core.m_options.m_maxAnswerBytes) {
-    m_attempt->m_foreign = true;
+  if (m_attempt->m_body.size() + aPiece.size() > m_core.m_options.m_maxReplyBytes) {
+    m_attempt->m_invalidReply = true;
     return;
   }
   m_attempt->m_body.append(aPiece);
 }
 
-void Exchange::PassEvents(std::string aEvents)
+void Exchange::ForwardEvents(std::string aEvents)
 {
   if (aEvents.empty()) {
     return;
   }
-  if (!m_answerBegan) {
-    m_answerBegan = true;
-    m_beganAt = base::MonotonicNow();
-    if (m_assigned.m_free && m_sends == 1 && m_attempt->m_endpoint == m_assigned.m_engine) {
-      m_core.m_dispatcher->OnBegan(m_assigned.m_readTokens, *m_beganAt - m_attempt->m_sentAt);
+  if (!m_replyStarted) {
+    m_replyStarted = true;
+    m_firstEventAt = base::MonotonicNow();
+    if (m_assigned.m_engineIdle && m_sends == 1 &&
+        m_attempt->m_incarnation == m_assigned.m_engine) {
+      m_core.m_dispatcher->OnFirstEvent(m_assigned.m_prefillTokens,
+                                        *m_firstEventAt - m_attempt->m_sentAt);
     }
-    m_core.m_admission[m_service].OnAnswering(*m_admission, base::MonotonicNow());
-    if (m_core.m_leaving) {
+    m_core.m_admissionLimits[m_service].OnAnswering(*m_admissionTicket, base::MonotonicNow());
+    if (m_core.m_stopping) {
       m_reply->CloseAfter();
     }
     m_core.m_metrics.Observe("first_event_seconds",
-                             base::Seconds(base::MonotonicNow() - m_arrival));
-    m_reply->StartStream(m_attempt->m_head->m_status, m_attempt->m_head->m_forwarded);
+                             base::Seconds(base::MonotonicNow() - m_arrivedAt));
+    m_reply->StartStream(m_attempt->m_head->m_status, m_attempt->m_head->m_forwardedHeaders);
   }
   m_reply->Write(std::move(aEvents));
 }
 
-AttemptEnd Exchange::EndOf(const Attempt& aAttempt, const net::ClientOutcome& aOutcome) const
+AttemptOutcome Exchange::ClassifyOutcome(const Attempt& aAttempt,
+                                         const net::ClientOutcome& aOutcome) const
 {
   if (aOutcome.m_end == net::WireEnd::NotSent) {
-    return AttemptEnd::NotSent;
+    return AttemptOutcome::NotSent;
   }
-  const bool ours = aAttempt.m_head && !aAttempt.m_foreign;
+  const bool ours = aAttempt.m_head && !aAttempt.m_invalidReply;
   if (ours && aAttempt.m_head->m_notRun) {
-    return AttemptEnd::NotRun;
+    return AttemptOutcome::NotRun;
   }
   const bool whole = ours && aOutcome.m_end == net::WireEnd::Complete;
-  return whole && !aAttempt.m_head->Succeeds() ? AttemptEnd::Failure : AttemptEnd::Broken;
+  return whole && !aAttempt.m_head->Succeeds() ? AttemptOutcome::ErrorReply
+                                               : AttemptOutcome::Broken;
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/exchange_test.cpp
+++ b/src/ferrytray/relay/exchange_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP_BASE(Exchange, support::ExchangeFixture){};
 
-TEST(Exchange, AWholeSignedAnswerIsPassedOn)
+TEST(Exchange, ForwardsCompleteSignedReply)
 {
   const auto reply = Ask("/once/x");
   m_client.Head(200, { { "x", "y" } });
@@ -21,7 +21,7 @@
   STRCMP_EQUAL("y", reply->Header("x").c_str());
 }
 
-TEST(Exchange, WhatMayNotRunTwiceIsSentOnceAndNotCalledRefused)
+TEST(Exchange, NonIdempotentRequestIsSentOnceAndReportedUnknown)
 {
   const auto reply = Ask("/once/x");
   CHECK(m_client.m_calls[0].m_request.m_sendOnce);
@@ -31,7 +31,7 @@
   STRCMP_EQUAL("unknown", reply->Header("run").c_str());
 }
 
-TEST(Exchange, WhatDidNotReachAnEndpointGoesToAnother)
+TEST(Exchange, UnsentAttemptIsRetriedElsewhere)
 {
   Ask("/once/x");
   const std::string first = Sent("to");
@@ -40,7 +40,7 @@
   CHECK(first != Sent("to"));
 }
 
-TEST(Exchange, ARefusalThatIsTrueTellsWhenToComeBack)
+TEST(Exchange, RefusalOfUnexecutedRequestHasRetryAfter)
 {
   const auto reply = Ask("/once/x");
   m_client.Head(503, { { "not-run", "1" } });
@@ -52,7 +52,7 @@
   STRCMP_EQUAL("yes", reply->Header("come-back").c_str());
 }
 
-TEST(Exchange, AnEndpointsOwn503ThatMayHaveRunIsNotPassedOnAsARefusal)
+TEST(Exchange, Endpoint503WithoutNotRunIsReportedUnknown)
 {
   const auto reply = Ask("/once/x");
   m_client.Head(503, {});
@@ -60,7 +60,7 @@
   LONGS_EQUAL(502, reply->m_status);
 }
 
-TEST(Exchange, AFailureOfAnIdempotentRequestIsTriedOnceMoreThenPassedOn)
+TEST(Exchange, IdempotentFailureIsRetriedOnceThenForwarded)
 {
   const auto reply = Ask("/again/x");
   m_client.Head(500, {});
@@ -73,7 +73,7 @@
   STRCMP_EQUAL("second", reply->Header("x").c_str());
 }
 
-TEST(Exchange, AReplyToAnotherRequestIsNeverPassedOn)
+TEST(Exchange, ReplyToOtherRequestIsNotForwarded)
 {
   const auto reply = Ask("/once/x");
   m_client.Head(200, { { "id", "r0" } });
@@ -83,7 +83,7 @@
   STRCMP_EQUAL("", reply->m_body.c_str());
 }
 
-TEST(Exchange, ASuccessWithoutSignatureIsNotPassedOn)
+TEST(Exchange, UnsignedSuccessIsNotForwarded)
 {
   const auto reply = Ask("/stream/x");
   m_client.Head(200, { { "unsigned", "" } });
@@ -93,7 +93,7 @@
   STRCMP_EQUAL("", reply->m_body.c_str());
 }
 
-TEST(Exchange, ABodyThatIsCutShortIsNotPassedOn)
+TEST(Exchange, TruncatedBodyIsNotForwarded)
 {
   const auto reply = Ask("/once/x");
   m_client.Head(200, {});
@@ -102,7 +102,7 @@
   LONGS_EQUAL(502, reply->m_status);
 }
 
-TEST(Exchange, AResumableStreamGoesOnAfterItsLastWholeEvent)
+TEST(Exchange, ResumableStreamContinuesAfterLastCompleteEvent)
 {
   const auto reply = Ask("/resume/x");
   m_client.Head(200, { { "x", "first" } });
@@ -118,7 +118,7 @@
   STRCMP_EQUAL("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", reply->m_body.c_str());
 }
 
-TEST(Exchange, AStreamThatMayNotResumeIsVisiblyBrokenOff)
+TEST(Exchange, NonResumableStreamIsAborted)
 {
   const auto reply = Ask("/stream/x");
   m_client.Head(200, {});
@@ -129,20 +129,20 @@
   CHECK_FALSE(reply->m_finished);
 }
 
-TEST(Exchange, ACallerThatLeavesCancelsTheRun)
+TEST(Exchange, CallerDisconnectCancelsAttempt)
 {
   const auto reply = Ask("/again/x");
   const auto onClosed = reply->m_onClosed;
   onClosed();
   CHECK(m_client.m_calls[0].m_cancelled);
-  LONGS_EQUAL(0, m_core.m_board.Open("a") + m_core.m_board.Open("b"));
+  LONGS_EQUAL(0, m_core.m_endpointBoard.Open("a") + m_core.m_endpointBoard.Open("b"));
 }
 
-TEST(Exchange, AnUnknownKeyOrPathIsDeniedOnlyByAConfigurationThatIsUpToDate)
+TEST(Exchange, UnknownKeyOrPathIsDeniedOnlyByFreshConfiguration)
 {
   LONGS_EQUAL(401, Ask("/once/x", "wrong")->m_status);
   LONGS_EQUAL(404, Ask("/none/x")->m_status);
-  m_core.m_operatorsHeardAt = base::MonotonicNow() - 2s;
+  m_core.m_operatorsReadAt = base::MonotonicNow() - 2s;
   LONGS_EQUAL(503, Ask("/once/x", "wrong")->m_status);
   LONGS_EQUAL(503, Ask("/none/x")->m_status);
   m_core.m_configuration = nullptr;
@@ -150,16 +150,16 @@
   CHECK(m_client.m_calls.empty());
 }
 
-TEST(Exchange, WeightsAreNamedAndCachedPartsKeptApartByThem)
+TEST(Exchange, SendsWeightVersionAndCacheScope)
 {
   Ask("/resume/x", "k", "m");
   STRCMP_EQUAL("1", Sent("weights").c_str());
   STRCMP_EQUAL("m/1", Sent("scope").c_str());
 }
 
-TEST(Exchange, AfterARefusalForOtherWeightsTheSameEndpointIsAskedWithTheNewest)
+TEST(Exchange, WeightMismatchIsRetriedWithNewestVersion)
 {
-  m_core.m_wanted["m"] = 2;
+  m_core.m_desiredWeights["m"] = 2;
   Ask("/stream/x", "k", "m");
   const std::string first = Sent("to");
   m_client.Head(421, { { "not-run", "1" }, { "misdirected", "1" } });
@@ -169,15 +169,15 @@
   STRCMP_EQUAL("m/2", Sent("scope").c_str());
 }
 
-TEST(Exchange, ARefusalForOtherWeightsDoesNotMakeUpWantedOnes)
+TEST(Exchange, WeightMismatchDoesNotSetDesiredWeights)
 {
   Ask("/stream/x", "k", "m");
   m_client.Head(421, { { "not-run", "1" }, { "misdirected", "1" } });
   m_client.End(WireEnd::Complete);
-  CHECK(m_core.m_wanted.empty()); // the roll-out would order them
+  CHECK(m_core.m_desiredWeights.empty()); // the roll-out would order them
 }
 
-TEST(Exchange, AnAddressThatAnotherIncarnationHasIsNotUsedAgain)
+TEST(Exchange, ReplacedIncarnationIsRemoved)
 {
   Ask("/stream/x", "k", "m");
   const std::string first = Sent("to");
@@ -187,9 +187,9 @@
   POINTERS_EQUAL(nullptr, m_core.m_directory.Find(first));
 }
 
-TEST(Exchange, WhileLeavingEveryAnswerClosesItsConnection)
+TEST(Exchange, RepliesCloseConnectionsDuringShutdown)
 {
-  m_core.m_leaving = true;
+  m_core.m_stopping = true;
   const auto reply = Ask("/once/x");
   m_client.Head(200, {});
   m_client.End(WireEnd::Complete);
@@ -197,29 +197,29 @@
   CHECK(Ask("/none/x")->m_closes);
 }
 
-TEST(Exchange, OnceNewWeightsAreDueEnginesOnOlderOnesGetNothing)
+TEST(Exchange, OutdatedEnginesAreExcludedAfterWeightsDeadline)
 {
   const base::TimePoint now = base::MonotonicNow();
   m_core.m_directory.NoteWeights("b", "m", 2);
-  m_core.m_named.OnNamed("m", 2, now - 1h);
+  m_core.m_namedWeights.OnNamed("m", 2, now - 1h);
   for (int i = 0; i < 20; ++i) {
     Ask("/stream/x", "k", "m");
     STRCMP_EQUAL("b:1", m_client.m_calls.back().m_request.m_url.c_str());
   }
-  m_core.m_named.OnNamed("m", 3, now - 1h);
+  m_core.m_namedWeights.OnNamed("m", 3, now - 1h);
   const auto reply = Ask("/stream/x", "k", "m");
   LONGS_EQUAL(503, reply->m_status);
 }
 
-TEST(Exchange, UntilNewWeightsAreDueOlderOnesServe)
+TEST(Exchange, OlderWeightsAreUsedBeforeDeadline)
 {
-  m_core.m_named.OnNamed("m", 2, base::MonotonicNow());
+  m_core.m_namedWeights.OnNamed("m", 2, base::MonotonicNow());
   const std::size_t before = m_client.m_calls.size();
   Ask("/stream/x", "k", "m");
   LONGS_EQUAL(before + 1, m_client.m_calls.size());
 }
 
-TEST(Exchange, WhatIsOverTheConfiguredLimitsIsRefusedWithANumberAndNeverSent)
+TEST(Exchange, OversizedRequestIsRefusedAndNotSent)
 {
   fleet::Configuration configuration = m_core.m_configuration->Get();
   configuration.m_limits.m_bodyBytes = 10;
@@ -242,7 +242,7 @@
 }
 
 // Load: weights are rolled out; an engine rejects whatever reaches it while it loads.
-TEST(Exchange, APromptDoesNotGoToAnEngineThatLoadsWeights)
+TEST(Exchange, PromptAvoidsReloadingEngine)
 {
   for (const char* closed : { "a", "b" }) {
     m_core.m_reloads = peers::ReloadBoard();
@@ -252,7 +252,7 @@
   }
 }
 
-TEST(Exchange, AfterItsLoadAnEngineIsAskedForItsNewWeightsAtOnce)
+TEST(Exchange, NewWeightsAreExpectedAfterReload)
 {
   m_core.m_directory.MarkGone("b");
   m_core.m_reloads.OnNotice({ peers::TagOf("a"), "m", 2, 0, 1 }, base::MonotonicNow());
@@ -261,7 +261,7 @@
   STRCMP_EQUAL("2", Sent("weights").c_str());
 }
 
-TEST(Exchange, WhenAllEnginesLoadAPromptIsTriedNonetheless)
+TEST(Exchange, PromptIsSentWhenAllEnginesReload)
 {
   for (const char* engine : { "a", "b" }) {
     m_core.m_reloads.OnNotice({ peers::TagOf(engine), "m", 2, 1500, 1 }, base::MonotonicNow());
@@ -270,7 +270,7 @@
   LONGS_EQUAL(1, m_client.m_calls.size());
 }
 
-TEST(Exchange, PlainRequestsKnowNoReloads)
+TEST(Exchange, RequestsWithoutPromptIgnoreReloads)
 {
   m_core.m_directory.MarkGone("b");
   m_core.m_reloads.OnNotice({ peers::TagOf("a"), "m", 2, 1500, 1 }, base::MonotonicNow());
@@ -278,14 +278,14 @@
   STRCMP_EQUAL("a", Sent("to").c_str());
 }
 
-TEST(Exchange, WhoeverFindsAnEndpointReplacedTellsTheOthers)
+TEST(Exchange, EndpointReplacementIsReported)
 {
-  std::string told;
-  m_core.m_onReplaced = [&](const std::string& aIncarnation) { told = aIncarnation; };
+  std::string reported;
+  m_core.m_onEndpointReplaced = [&](const std::string& aIncarnation) { reported = aIncarnation; };
   Ask("/once/x");
   const std::string first = Sent("to");
   m_client.Head(421, { { "misdirected", "" }, { "not-run", "" }, { "incarnation", "new" } });
   m_client.End(WireEnd::Complete);
-  STRCMP_EQUAL(first.c_str(), told.c_str());
+  STRCMP_EQUAL(first.c_str(), reported.c_str());
   POINTERS_EQUAL(nullptr, m_core.m_directory.Find(first));
 }
--- a/src/ferrytray/relay/feed_options_test.cpp
+++ b/src/ferrytray/relay/feed_options_test.cpp
@@ -20,89 +20,89 @@
 
 namespace {
 
-relay::LogBounds BoundsOf(base::Duration aDue)
+relay::PropagationBounds UniformBounds(base::Duration aBound)
 {
-  return { aDue, aDue, aDue, aDue, aDue };
+  return { aBound, aBound, aBound, aBound, aBound };
 }
 
 } // namespace
 
 TEST_GROUP(FeedOptions)
 {
-  const std::vector<base::Duration> m_dues{ 1s, 2s, 3s, 4s, 8s };
+  const std::vector<base::Duration> m_bounds{ 1s, 2s, 3s, 4s, 8s };
   const base::Duration m_retry = store::FollowOptions{}.m_retryFirst;
-  const base::Duration m_askEvery = peers::NewsOptions{}.m_askEvery;
+  const base::Duration m_pollInterval = peers::NewsOptions{}.m_askEvery;
 };
 
-TEST(FeedOptions, AReadThatIsNeverAnsweredIsRepeatedWithinTheBound)
+TEST(FeedOptions, UnansweredReadIsRetriedWithinBound)
 {
-  for (const base::Duration due : m_dues) {
-    const relay::FeedOptions options = relay::FeedOptionsFor(BoundsOf(due));
-    const base::Duration givenUp = options.m_operatorWait + options.m_operatorPatience;
-    CHECK(givenUp + m_retry + m_askEvery <= due);
+  for (const base::Duration bound : m_bounds) {
+    const relay::FeedOptions options = relay::FeedOptionsFor(UniformBounds(bound));
+    const base::Duration readTimeout = options.m_operatorWait + options.m_operatorGrace;
+    CHECK(readTimeout + m_retry + m_pollInterval <= bound);
   }
 }
 
 // Reads that are held open may go unanswered in a row; each is followed by one that is not held
 // open, which the log answers in milliseconds.
-TEST(FeedOptions, ReadsThatAreNeverAnsweredInARowCostNoMoreThanOne)
+TEST(FeedOptions, ConsecutiveUnansweredReadsStayWithinBound)
 {
   constexpr base::Duration kAnswer = 100ms;
-  for (const base::Duration due : m_dues) {
-    const relay::FeedOptions options = relay::FeedOptionsFor(BoundsOf(due));
-    // A change just after a read was begun is known when the plain read after it is answered. A
-    // host that follows another one asks it later still.
-    const base::Duration known = options.m_operatorWait + options.m_operatorPatience + kAnswer;
-    CHECK(known + m_askEvery <= due);
+  for (const base::Duration bound : m_bounds) {
+    const relay::FeedOptions options = relay::FeedOptionsFor(UniformBounds(bound));
+    // A change just after a read was begun is maxKnownAfter when the plain read after it is
+    // answered. A host that follows another one asks it later still.
+    const base::Duration maxKnownAfter = options.m_operatorWait + options.m_operatorGrace + kAnswer;
+    CHECK(maxKnownAfter + m_pollInterval <= bound);
     // What a reader tells may have that age; then the follower reads by itself, not held open.
-    CHECK(options.m_operatorNewsFresh + kAnswer <= due);
+    CHECK(options.m_operatorPeerMaxAge + kAnswer <= bound);
   }
 }
 
-TEST(FeedOptions, AHostDeniesNothingOnceItMayNotKnowWhatIsInForce)
+TEST(FeedOptions, DenialsStopBeforeConfigurationBound)
 {
-  for (const base::Duration due : m_dues) {
-    CHECK(relay::DeniesWithin(BoundsOf(due)) < due);
+  for (const base::Duration bound : m_bounds) {
+    CHECK(relay::MaxDenialAge(UniformBounds(bound)) < bound);
     // The same for one that follows a host whose reads hang.
-    CHECK(relay::FeedOptionsFor(BoundsOf(due)).m_operatorNewsFresh < due);
+    CHECK(relay::FeedOptionsFor(UniformBounds(bound)).m_operatorPeerMaxAge < bound);
   }
 }
 
-TEST(FeedOptions, TheTightestBoundOfTheTopicCounts)
+TEST(FeedOptions, TightestTopicBoundApplies)
 {
-  relay::LogBounds bounds = BoundsOf(8s);
+  relay::PropagationBounds bounds = UniformBounds(8s);
   bounds.m_revocationDue = 1s;
   CHECK(relay::FeedOptionsFor(bounds).m_operatorWait <= 500ms);
-  CHECK(relay::DeniesWithin(bounds) < 1s);
+  CHECK(relay::MaxDenialAge(bounds) < 1s);
 }
 
-TEST(FeedOptions, WithoutTroubleAHostIsAlwaysSure)
+TEST(FeedOptions, ConfigurationStaysFreshInNormalOperation)
 {
-  for (const base::Duration due : m_dues) {
-    const relay::FeedOptions options = relay::FeedOptionsFor(BoundsOf(due));
+  for (const base::Duration bound : m_bounds) {
+    const relay::FeedOptions options = relay::FeedOptionsFor(UniformBounds(bound));
     // A read that has just been answered was begun one wait ago, the next answer is one wait away.
     const base::Duration oldest = 2 * options.m_operatorWait;
-    CHECK(oldest < options.m_operatorNewsFresh);
-    CHECK(oldest + m_askEvery < relay::DeniesWithin(BoundsOf(due)));
+    CHECK(oldest < options.m_operatorPeerMaxAge);
+    CHECK(oldest + m_pollInterval < relay::MaxDenialAge(UniformBounds(bound)));
   }
 }
 
-TEST(FeedOptions, TheDirectorysReadsFollowTheDrainTime)
+TEST(FeedOptions, DirectoryPauseScalesWithDrainTime)
 {
-  const relay::FeedOptions once = relay::FeedOptionsFor(BoundsOf(2s));
-  const relay::FeedOptions twice = relay::FeedOptionsFor(BoundsOf(4s));
+  const relay::FeedOptions once = relay::FeedOptionsFor(UniformBounds(2s));
+  const relay::FeedOptions twice = relay::FeedOptionsFor(UniformBounds(4s));
   CHECK(twice.m_endpointPause == 2 * once.m_endpointPause);
   CHECK(twice.m_endpointServingPause == 2 * once.m_endpointServingPause);
   CHECK(once.m_endpointPause + 600ms + m_retry < 2s);
 }
 
-TEST(FeedOptions, AHostThatHearsOfNoOtherReadsOfRequestsThatEndEndpointsWithinTheirBound)
+TEST(FeedOptions, IsolatedHostReadsQuarantineWithinBound)
 {
-  for (const base::Duration due : m_dues) {
-    const relay::FeedOptions options = relay::FeedOptionsFor(BoundsOf(due));
-    CHECK(options.m_quarantineAlone + options.m_quarantinePatience < due);
+  for (const base::Duration bound : m_bounds) {
+    const relay::FeedOptions options = relay::FeedOptionsFor(UniformBounds(bound));
+    CHECK(options.m_quarantineIsolatedInterval + options.m_quarantineGrace < bound);
     // A host that others ask hears from the log once in a wait.
-    CHECK(options.m_quarantineNewsFresh >
-          options.m_quarantineWait + options.m_quarantinePatience + m_askEvery);
+    CHECK(options.m_quarantinePeerMaxAge >
+          options.m_quarantineWait + options.m_quarantineGrace + m_pollInterval);
   }
 }
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -16,35 +16,35 @@
 namespace ferrytray::relay {
 
 PromptDispatcher::PromptDispatcher(RelayCore& aCore,
-                                   peers::NewsExchange& aExchange,
+                                   peers::NewsExchange& aNews,
                                    DispatchOptions aOptions)
   : m_core(aCore)
-  , m_exchange(aExchange)
+  , m_news(aNews)
   , m_options(aOptions)
 {
-  m_exchange.OnPlacement(
-    [this](const peers::PlacementRequest& aRequest) { return Give(aRequest); });
+  m_news.OnPlacement(
+    [this](const peers::PlacementRequest& aRequest) { return AssignEngine(aRequest); });
 }
 
-void PromptDispatcher::Ask(const Prompt& aPrompt,
-                           const fleet::ClientAccount* aAccount,
-                           const std::string& aService,
-                           Done aDone)
+void PromptDispatcher::RequestEngine(const Prompt& aPrompt,
+                                     const fleet::ClientAccount* aAccount,
+                                     const std::string& aService,
+                                     Done aDone)
 {
   const base::TimePoint now = base::MonotonicNow();
   peers::PlacementRequest request;
-  request.m_host = m_exchange.Name();
-  request.m_unreachable = Unreachable(aService, now);
+  request.m_host = m_news.Name();
+  request.m_unreachable = UnreachableEngines(aService, now);
   request.m_service = aService;
   request.m_model = aPrompt.m_model;
-  request.m_key = m_core.m_placement.HomeKey(aPrompt, aAccount);
+  request.m_key = m_core.m_promptPlacement.HomeKey(aPrompt, aAccount);
   request.m_zone = ZoneFor(request.m_key, aService);
   request.m_tokens = aPrompt.m_inputTokens;
-  request.m_readTokens = ReadTokens(aPrompt, aAccount, now);
+  request.m_readTokens = PrefillTokens(aPrompt, aAccount, now);
   request.m_ownTokens = aPrompt.m_parts.empty() ? 0 : aPrompt.m_parts.back().m_tokens;
-  const std::optional<peers::Peer> host = m_exchange.Placer(request.m_zone, now);
-  const auto avoided = host ? m_avoidUntil.find(host->m_name) : m_avoidUntil.end();
-  if (!host || (avoided != m_avoidUntil.end() && now < avoided->second)) {
+  const std::optional<peers::Peer> host = m_news.Placer(request.m_zone, now);
+  const auto avoided = host ? m_backoffUntil.find(host->m_name) : m_backoffUntil.end();
+  if (!host || (avoided != m_backoffUntil.end() && now < avoided->second)) {
     aDone({});
     return;
   }
@@ -53,27 +53,27 @@
       std::move(aReply.m_engine), std::move(aReply.m_holder), tokens, aReply.m_free, aReply.m_full
     };
   };
-  if (m_exchange.IsSelf(*host)) {
-    aDone(assign(Give(request)));
+  if (m_news.IsSelf(*host)) {
+    aDone(assign(AssignEngine(request)));
     return;
   }
-  if (const auto seen = std::exchange(m_seen, std::nullopt)) {
+  if (const auto seen = std::exchange(m_prefillSample, std::nullopt)) {
     request.m_seenTokens = seen->m_tokens;
     request.m_seenMillis = static_cast<std::uint32_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(seen->m_took).count());
+      std::chrono::duration_cast<std::chrono::milliseconds>(seen->m_duration).count());
   }
-  m_exchange.AskPlacement(*host,
-                          request,
-                          [this, name = host->m_name, assign, done = std::move(aDone)](
-                            std::optional<peers::PlacementReply> aReply) {
-                            if (!aReply) {
-                              m_avoidUntil[name] = base::MonotonicNow() + m_options.m_avoid;
-                            }
-                            done(aReply ? assign(std::move(*aReply)) : Assignment{});
-                          });
+  m_news.AskPlacement(*host,
+                      request,
+                      [this, name = host->m_name, assign, done = std::move(aDone)](
+                        std::optional<peers::PlacementReply> aReply) {
+                        if (!aReply) {
+                          m_backoffUntil[name] = base::MonotonicNow() + m_options.m_hostBackoff;
+                        }
+                        done(aReply ? assign(std::move(*aReply)) : Assignment{});
+                      });
 }
 
-peers::PlacementReply PromptDispatcher::Give(const peers::PlacementRequest& aRequest)
+peers::PlacementReply PromptDispatcher::AssignEngine(const peers::PlacementRequest& aRequest)
 {
   if (!m_core.m_configuration) {
     return {};
@@ -88,54 +88,55 @@
   const fleet::Service* service = m_core.m_configuration->FindService(aRequest.m_service);
   const std::uint64_t memory =
     service == nullptr || !service->m_engine ? 0 : service->m_engine->m_kvTokens;
-  const PromptNeeds needs{ aRequest.m_model, aRequest.m_tokens };
-  const Candidates candidates = CandidatesFor(
+  const PromptRequirements needs{ aRequest.m_model, aRequest.m_tokens };
+  const Candidates candidates = FindCandidates(
     m_core, aRequest.m_service, service, needs, {}, routing::ColdUse::Assigned, "", now);
   const routing::PromptSize size = routing::SizeOf(aRequest.m_tokens, memory);
-  bool someFull = false;
+  bool anyFull = false;
   std::vector<routing::PrefillEngine> engines;
-  for (std::size_t i = 0; i < candidates.m_places.size(); ++i) {
-    const routing::PlacementCandidate& place = candidates.m_places[i];
+  for (std::size_t i = 0; i < candidates.m_placements.size(); ++i) {
+    const routing::PlacementCandidate& place = candidates.m_placements[i];
     const bool inZone =
       aRequest.m_zone.empty() || candidates.m_endpoints[i]->m_zone == aRequest.m_zone;
     const peers::EndpointTag tag = peers::TagOf(place.m_name);
     const bool reachable = !refused.contains(tag) && !m_unreachable.IsUnreachable(tag, now);
-    const std::uint64_t given = m_queues.GivenTokens(place.m_name, now);
-    const routing::Work work = place.m_work + routing::WorkOf(static_cast<std::uint32_t>(given));
+    const std::uint64_t assignedTokens = m_queues.GivenTokens(place.m_name, now);
+    const routing::Work work =
+      place.m_work + routing::WorkOf(static_cast<std::uint32_t>(assignedTokens));
     const bool usable = inZone && reachable && !place.m_avoided;
     const bool full = usable && memory > 0 && !routing::HasRoom(size, work, memory);
-    someFull = someFull || full;
+    anyFull = anyFull || full;
     if (usable && !full) {
       engines.push_back({ place.m_name, routing::TokensOf(work), memory });
     }
   }
   // What this host sends itself is counted from the moment that it is sent.
-  const std::uint32_t untold = aRequest.m_host == m_exchange.Name() ? 0 : aRequest.m_tokens;
+  const std::uint32_t uncountedTokens = aRequest.m_host == m_news.Name() ? 0 : aRequest.m_tokens;
   const routing::PrefillJob job{
-    aRequest.m_key, untold, aRequest.m_readTokens, aRequest.m_ownTokens
+    aRequest.m_key, uncountedTokens, aRequest.m_readTokens, aRequest.m_ownTokens
   };
   const auto choice = m_queues.Give(job, engines, now);
   if (!choice) {
-    return { "", "", false, someFull && aRequest.m_zone.empty() };
+    return { "", "", false, anyFull && aRequest.m_zone.empty() };
   }
   const std::string& chosen = engines[choice->m_engine].m_name;
-  NoteColdSend(m_core, *m_core.m_directory.Find(chosen), routing::ColdUse::Assigned, now);
+  RecordColdSend(m_core, *m_core.m_directory.Find(chosen), routing::ColdUse::Assigned, now);
   return { chosen, choice->m_holder, choice->m_free, false };
 }
 
-void PromptDispatcher::OnBegan(std::uint32_t aReadTokens, base::Duration aTook)
+void PromptDispatcher::OnFirstEvent(std::uint32_t aPrefillTokens, base::Duration aDuration)
 {
-  if (aReadTokens > 0) {
-    m_seen = Seen{ aReadTokens, aTook };
+  if (aPrefillTokens > 0) {
+    m_prefillSample = PrefillSample{ aPrefillTokens, aDuration };
   }
 }
 
-std::vector<peers::EndpointTag> PromptDispatcher::Unreachable(const std::string& aService,
-                                                              base::TimePoint aNow) const
+std::vector<peers::EndpointTag> PromptDispatcher::UnreachableEngines(const std::string& aService,
+                                                                     base::TimePoint aNow) const
 {
   std::vector<peers::EndpointTag> unreachable;
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(aService)) {
-    if (m_core.m_board.Avoided(endpoint->m_incarnation, aNow)) {
+    if (m_core.m_endpointBoard.Avoided(endpoint->m_incarnation, aNow)) {
       unreachable.push_back(peers::TagOf(endpoint->m_incarnation));
     }
   }
@@ -149,7 +150,7 @@
     ++engines[endpoint->m_zone];
   }
   const bool enough = std::all_of(engines.begin(), engines.end(), [&](const auto& aZone) {
-    return aZone.second >= m_options.m_leastEngines;
+    return aZone.second >= m_options.m_minEnginesPerZone;
   });
   if (engines.empty() || !enough) {
     return "";
@@ -162,12 +163,13 @@
   return zones[routing::RendezvousHomes(base::HashWithSeed({}, aKey), zones, 1).front()];
 }
 
-std::uint32_t PromptDispatcher::ReadTokens(const Prompt& aPrompt,
-                                           const fleet::ClientAccount* aAccount,
-                                           base::TimePoint aNow) const
+std::uint32_t PromptDispatcher::PrefillTokens(const Prompt& aPrompt,
+                                              const fleet::ClientAccount* aAccount,
+                                              base::TimePoint aNow) const
 {
-  const auto wanted = m_core.m_wanted.find(aPrompt.m_model);
-  const fleet::WeightVersion weights = wanted == m_core.m_wanted.end() ? 1 : wanted->second;
+  const auto desired = m_core.m_desiredWeights.find(aPrompt.m_model);
+  const fleet::WeightVersion weights =
+    desired == m_core.m_desiredWeights.end() ? 1 : desired->second;
   const std::string scope = PromptPlacement::CacheScope(aPrompt.m_model, weights, aAccount);
   std::uint32_t tokens = aPrompt.m_inputTokens;
   for (const PromptPart& part : aPrompt.m_parts) {
--- a/src/ferrytray/relay/prompt_dispatcher_test.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher_test.cpp
@@ -16,15 +16,15 @@
 TEST_GROUP_BASE(PromptDispatcher, support::ExchangeFixture)
 {
   support::MemoryRecordLog m_log;
-  std::optional<peers::NewsExchange> m_exchange;
+  std::optional<peers::NewsExchange> m_news;
   std::optional<relay::PromptDispatcher> m_dispatcher;
 
   void teardown() override
   {
-    m_exchange->Stop();
+    m_news->Stop();
   }
 
-  void Begin(std::uint32_t aCapacity)
+  void StartDispatcher(std::uint32_t aCapacity)
   {
     peers::NewsOptions options;
     options.m_listen = { "127.0.0.1", 0 };
@@ -38,34 +38,34 @@
                       "strong",
                       peers::Encode(peers::Peer{ "strong", "z", "10.0.0.1:7", 5 }),
                       [](const auto&) {});
-    m_exchange.emplace(m_loop,
-                       m_client,
-                       m_log,
-                       m_core.m_stores,
-                       m_core.m_otherLoads,
-                       m_core.m_reloads,
-                       m_core.m_crashes,
-                       options);
-    m_exchange->OwnLoads([] { return peers::EndpointLoads{}; });
-    m_dispatcher.emplace(m_core, *m_exchange);
-    CHECK(m_exchange->Start().has_value());
-    for (int i = 0; i < 1000 && !m_exchange->Placer("", base::MonotonicNow()); ++i) {
+    m_news.emplace(m_loop,
+                   m_client,
+                   m_log,
+                   m_core.m_stores,
+                   m_core.m_peerLoads,
+                   m_core.m_reloads,
+                   m_core.m_crashes,
+                   options);
+    m_news->OwnLoads([] { return peers::EndpointLoads{}; });
+    m_dispatcher.emplace(m_core, *m_news);
+    CHECK(m_news->Start().has_value());
+    for (int i = 0; i < 1000 && !m_news->Placer("", base::MonotonicNow()); ++i) {
       m_loop.RunFor(1ms);
     }
     m_client.m_calls.clear();
     m_core.m_dispatcher = &*m_dispatcher;
   }
 
-  peers::PlacementRequest QuestionOf(const char* aKey)
+  peers::PlacementRequest PlacementRequestFor(const char* aKey)
   {
     return { "h", "s", "m", "", aKey, kLongPrompt, kLongPrompt, kLongPrompt, {}, 0, 0 };
   }
 };
 
 // Load: answers are long and engines full; hosts tell of what they sent too late to see it.
-TEST(PromptDispatcher, WhatEnginesHaveNoMemoryForIsRefusedAtOnce)
+TEST(PromptDispatcher, RefusesPromptsBeyondEngineMemory)
 {
-  Begin(9);
+  StartDispatcher(9);
   std::size_t sent = 0;
   std::shared_ptr<support::FakeReply> last;
   for (int i = 0; i < 20; ++i) {
@@ -79,26 +79,26 @@
 }
 
 // Load: engines crashed that the directory still lists.
-TEST(PromptDispatcher, AnEngineThatTheAskingHostCannotReachIsNotGiven)
+TEST(PromptDispatcher, EngineUnreachableByRequestingHostIsNotAssigned)
 {
-  Begin(9);
-  peers::PlacementRequest question = QuestionOf("k");
-  question.m_tokens = 100; // many have room
-  question.m_unreachable = { peers::TagOf("a") };
+  StartDispatcher(9);
+  peers::PlacementRequest request = PlacementRequestFor("k");
+  request.m_tokens = 100; // many have room
+  request.m_unreachable = { peers::TagOf("a") };
   for (int i = 0; i < 4; ++i) {
-    STRCMP_EQUAL("b", m_dispatcher->Give(question).m_engine.c_str());
+    STRCMP_EQUAL("b", m_dispatcher->AssignEngine(request).m_engine.c_str());
   }
-  question.m_host = "h2";
-  m_dispatcher->Give(question);
-  question.m_unreachable.clear();
-  question.m_host = "h3"; // it has not tried
-  STRCMP_EQUAL("b", m_dispatcher->Give(question).m_engine.c_str());
+  request.m_host = "h2";
+  m_dispatcher->AssignEngine(request);
+  request.m_unreachable.clear();
+  request.m_host = "h3"; // it has not tried
+  STRCMP_EQUAL("b", m_dispatcher->AssignEngine(request).m_engine.c_str());
 }
 
 // Load: long prompts that arrive together, more of them with one home than it can read in time.
-TEST(PromptDispatcher, PromptsThatArriveTogetherGoToDifferentEngines)
+TEST(PromptDispatcher, SimultaneousPromptsGetDifferentEngines)
 {
-  Begin(9);
+  StartDispatcher(9);
   Ask("/stream/x", "k", "long");
   const std::string first = Sent("to");
   Ask("/stream/x", "k", "long");
@@ -106,35 +106,35 @@
   CHECK(first != Sent("to"));
 }
 
-TEST(PromptDispatcher, AnEngineThatLoadsWeightsIsGivenNothing)
+TEST(PromptDispatcher, ReloadingEngineIsNotAssigned)
 {
-  Begin(9);
+  StartDispatcher(9);
   m_core.m_reloads.OnNotice({ peers::TagOf("a"), "m", 2, 1500, 1 }, base::MonotonicNow());
   for (const char* key : { "k1", "k2", "k3", "k4" }) {
-    STRCMP_EQUAL("b", m_dispatcher->Give(QuestionOf(key)).m_engine.c_str());
+    STRCMP_EQUAL("b", m_dispatcher->AssignEngine(PlacementRequestFor(key)).m_engine.c_str());
   }
 }
 
-TEST(PromptDispatcher, OfAZoneOnlyItsOwnEnginesAreGiven)
+TEST(PromptDispatcher, AssignsOnlyEnginesOfRequestedZone)
 {
-  Begin(9);
+  StartDispatcher(9);
   fleet::Endpoint far = support::EndpointOf("c");
   far.m_zone = "far";
   m_core.m_directory.Upsert(far, base::MonotonicNow());
-  peers::PlacementRequest question = QuestionOf("k");
-  question.m_zone = "far";
+  peers::PlacementRequest request = PlacementRequestFor("k");
+  request.m_zone = "far";
   for (int i = 0; i < 3; ++i) {
-    STRCMP_EQUAL("c", m_dispatcher->Give(question).m_engine.c_str());
+    STRCMP_EQUAL("c", m_dispatcher->AssignEngine(request).m_engine.c_str());
   }
-  question.m_zone = "nowhere";
-  CHECK(m_dispatcher->Give(question).m_engine.empty());
-  question.m_service = "unknown";
-  CHECK(m_dispatcher->Give(question).m_engine.empty());
+  request.m_zone = "nowhere";
+  CHECK(m_dispatcher->AssignEngine(request).m_engine.empty());
+  request.m_service = "unknown";
+  CHECK(m_dispatcher->AssignEngine(request).m_engine.empty());
 }
 
-TEST(PromptDispatcher, TheStrongerHostIsAskedAndItsAnswerIsFollowed)
+TEST(PromptDispatcher, UsesAssignmentOfHigherCapacityHost)
 {
-  Begin(1);
+  StartDispatcher(1);
   for (const char* engine : { "a", "b" }) {
     Ask("/stream/x", "k", "long");
     STRCMP_EQUAL("http://10.0.0.1:7/placement", m_client.m_calls.back().m_request.m_url.c_str());
@@ -145,9 +145,9 @@
   }
 }
 
-TEST(PromptDispatcher, WithoutAnAnswerAPromptGoesToItsHomeAndTheHostIsLeftAloneForAWhile)
+TEST(PromptDispatcher, FallsBackToHomeAndBacksOffWithoutAssignment)
 {
-  Begin(1);
+  StartDispatcher(1);
   Ask("/stream/x", "k", "long");
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(2, m_client.m_calls.size());
@@ -157,9 +157,9 @@
   CHECK_FALSE(Sent("to").empty());
 }
 
-TEST(PromptDispatcher, AnEngineThatThisHostDoesNotKnowOrWasRefusedByIsNotInsistedOn)
+TEST(PromptDispatcher, IgnoresAssignmentOfUnknownOrRefusingEngine)
 {
-  Begin(1);
+  StartDispatcher(1);
   Ask("/stream/x", "k", "long");
   m_client.Head(200, {});
   m_client.Data(peers::Encode(peers::PlacementReply{ "unknown", "unknown", false, false }));
@@ -171,18 +171,18 @@
   CHECK(first != Sent("to"));
 }
 
-TEST(PromptDispatcher, ACallerThatLeavesWhileTheQuestionIsOpenIsSentNowhere)
+TEST(PromptDispatcher, CallerDisconnectDuringAssignmentSendsNothing)
 {
-  Begin(1);
+  StartDispatcher(1);
   const auto reply = Ask("/stream/x", "k", "long");
   reply->m_onClosed();
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(1, m_client.m_calls.size());
 }
 
-TEST(PromptDispatcher, ShortPromptsAndPlainRequestsAskNobody)
+TEST(PromptDispatcher, ShortPromptsAndPlainRequestsNeedNoAssignment)
 {
-  Begin(1);
+  StartDispatcher(1);
   Ask("/stream/x", "k", "m");
   Ask("/once/x");
   LONGS_EQUAL(2, m_client.m_calls.size());
--- a/src/ferrytray/relay/prompt_placement.cpp
+++ b/src/ferrytray/relay/prompt_placement.cpp
@@ -17,7 +17,7 @@
 {
   const std::string owner = aAccount != nullptr && aAccount->m_isolated ? aAccount->m_name : "";
   for (const PromptPart& part : aPrompt.m_parts) {
-    if (part.m_tokens >= m_options.m_longPart) {
+    if (part.m_tokens >= m_options.m_minHomePartTokens) {
       return owner + "/" + part.m_id;
     }
   }
@@ -32,9 +32,9 @@
 std::optional<routing::Placement> PromptPlacement::Place(
   const Prompt& aPrompt,
   const fleet::ClientAccount* aAccount,
-  std::span<const routing::PlacementCandidate> aOf) const
+  std::span<const routing::PlacementCandidate> aCandidates) const
 {
-  return routing::PlaceAtHome(aOf, HomeKey(aPrompt, aAccount), m_options.m_homes);
+  return routing::PlaceAtHome(aCandidates, HomeKey(aPrompt, aAccount), m_options.m_homes);
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/prompt_placement_test.cpp
+++ b/src/ferrytray/relay/prompt_placement_test.cpp
@@ -17,7 +17,7 @@
   }
 };
 
-TEST(PromptPlacement, ASessionsRequestsHaveOneHomeWhateverTheirOwnPartIs)
+TEST(PromptPlacement, SessionRequestsShareHome)
 {
   const auto first = PromptOf({ { "system", 60 }, { "session", 250 }, { "own1", 80 } });
   const auto second = PromptOf({ { "system", 60 }, { "session", 250 }, { "own2", 90 } });
@@ -26,14 +26,14 @@
   CHECK(m_placement.HomeKey(first, &m_shared) != m_placement.HomeKey(other, &m_shared));
 }
 
-TEST(PromptPlacement, ALongPartDecidesTheHome)
+TEST(PromptPlacement, FirstLongPartDeterminesHome)
 {
   const auto first = PromptOf({ { "bundle", 12'000 }, { "a", 300 }, { "own1", 4000 } });
   const auto second = PromptOf({ { "bundle", 12'000 }, { "b", 300 }, { "own2", 80 } });
   CHECK(m_placement.HomeKey(first, &m_shared) == m_placement.HomeKey(second, &m_shared));
 }
 
-TEST(PromptPlacement, CacheScopesKeepWeightsAndIsolatedAccountsApart)
+TEST(PromptPlacement, CacheScopeSeparatesWeightsAndIsolatedAccounts)
 {
   const auto scope = [](fleet::WeightVersion aVersion, const fleet::ClientAccount* aAccount) {
     return PromptPlacement::CacheScope("m", aVersion, aAccount);
@@ -43,7 +43,7 @@
   CHECK(scope(1, &m_shared) != scope(1, &m_isolated));
 }
 
-TEST(PromptPlacement, APromptWithoutPartsHasAHome)
+TEST(PromptPlacement, PromptWithoutSharedPartsHasHome)
 {
   CHECK_FALSE(m_placement.HomeKey(PromptOf({}), nullptr).empty());
   CHECK_FALSE(m_placement.HomeKey(PromptOf({ { "p", 1 } }), nullptr).empty());
--- a/src/ferrytray/relay/quarantine_feed.cpp
+++ b/src/ferrytray/relay/quarantine_feed.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Between two looks for what is to be recorded; what this host saw itself is recorded at once.
-constexpr base::Duration kRecordEvery = std::chrono::milliseconds(500);
+constexpr base::Duration kRecordInterval = std::chrono::milliseconds(500);
 
 void LogChange(const quarantine::RequestKey& aRequest, const char* aOutcome)
 {
@@ -35,8 +35,8 @@
   follow.m_wait = aOptions.m_quarantineWait;
   follow.m_waryWait = aOptions.m_quarantineWait;
   follow.m_pause = {};
-  follow.m_patience = aOptions.m_quarantinePatience;
-  follow.m_newsFresh = aOptions.m_quarantineNewsFresh;
+  follow.m_patience = aOptions.m_quarantineGrace;
+  follow.m_newsFresh = aOptions.m_quarantinePeerMaxAge;
   store::FollowEvents events;
   events.m_onRecord = [this](const store::Record& aRecord) {
     OnRecord(aRecord);
@@ -62,23 +62,23 @@
 
 void QuarantineFeed::Start()
 {
-  m_tick = m_core.m_loop.Every(kRecordEvery, [this] { OnChange(); });
+  m_recordTimer = m_core.m_loop.Every(kRecordInterval, [this] { OnBoardChanged(); });
 }
 
 void QuarantineFeed::Stop()
 {
   m_stopped = true;
-  m_tick.reset();
+  m_recordTimer.reset();
   m_topic->Stop();
 }
 
-void QuarantineFeed::OnOwn(const quarantine::RequestKey& aRequest)
+void QuarantineFeed::OnLocalChange(const quarantine::RequestKey& aRequest)
 {
   m_keeper.OnOwn(aRequest);
-  OnChange();
+  OnBoardChanged();
 }
 
-void QuarantineFeed::OnChange()
+void QuarantineFeed::OnBoardChanged()
 {
   LogChanges();
   if (m_stopped || !m_core.m_crashesLoaded) {
@@ -107,11 +107,11 @@
                     });
 }
 
-void QuarantineFeed::ClaimTry(const quarantine::RequestKey& aRequest,
-                              std::function<void(bool)> aDone)
+void QuarantineFeed::ClaimProbe(const quarantine::RequestKey& aRequest,
+                                std::function<void(bool)> aDone)
 {
   std::optional<quarantine::Suspicion> known = m_core.m_crashes.Find(aRequest);
-  if (m_stopped || !known || !m_claiming.insert(aRequest).second) {
+  if (m_stopped || !known || !m_pendingClaims.insert(aRequest).second) {
     aDone(false);
     return;
   }
@@ -122,15 +122,15 @@
     base::ToHex(aRequest),
     peers::Encode(*known),
     [this, aRequest, done = std::move(aDone)](const base::Result<store::AppendResult>& aResult) {
-      m_claiming.erase(aRequest);
+      m_pendingClaims.erase(aRequest);
       // The record may have been read back before this answer came, so it is not asked whether
       // somebody tried meanwhile: only the first host by rank claims, two where hosts disagree.
-      const bool may = aResult && m_core.m_crashes.IsQuarantined(aRequest) && !m_stopped;
-      if (may) {
+      const bool granted = aResult && m_core.m_crashes.IsQuarantined(aRequest) && !m_stopped;
+      if (granted) {
         m_core.m_crashes.OnTried(aRequest, base::MonotonicNow());
         LogChange(aRequest, "tried");
       }
-      done(may);
+      done(granted);
     });
 }
 
@@ -176,21 +176,21 @@
   for (const quarantine::RequestKey& request : m_core.m_crashes.QuarantinedRequests()) {
     now.insert(request);
   }
-  if (now == m_logged) {
+  if (now == m_loggedRequests) {
     return;
   }
   for (const quarantine::RequestKey& request : now) {
-    if (!m_logged.contains(request)) {
+    if (!m_loggedRequests.contains(request)) {
       LogChange(request, "begun");
     }
   }
-  for (const quarantine::RequestKey& request : m_logged) {
+  for (const quarantine::RequestKey& request : m_loggedRequests) {
     if (!now.contains(request)) {
       LogChange(request, "ended");
     }
   }
-  m_logged = std::move(now);
-  m_core.m_metrics.Set("quarantined_requests", static_cast<double>(m_logged.size()));
+  m_loggedRequests = std::move(now);
+  m_core.m_metrics.Set("quarantined_requests", static_cast<double>(m_loggedRequests.size()));
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/quarantine_feed_test.cpp
+++ b/src/ferrytray/relay/quarantine_feed_test.cpp
@@ -20,7 +20,7 @@
     m_feed->Stop();
   }
   /// As a host that starts.
-  void Begin()
+  void StartFeed()
   {
     m_core.m_crashes = quarantine::CrashBoard();
     m_core.m_crashesLoaded = false;
@@ -32,88 +32,88 @@
     m_feed->Start();
     m_feed->Topic()->Start();
   }
-  void Break(quarantine::EndpointKey aEndpoint)
+  void ReportCrash(quarantine::EndpointKey aEndpoint)
   {
     m_core.m_crashes.OnBroken(m_request, aEndpoint, base::MonotonicNow(), base::MonotonicNow());
-    m_feed->OnOwn(m_request);
+    m_feed->OnLocalChange(m_request);
   }
 };
 
-TEST(QuarantineFeed, AHostThatStartsKnowsWhatOthersRecordedBeforeItServes)
+TEST(QuarantineFeed, StartingHostLoadsQuarantineRecords)
 {
-  Begin();
+  StartFeed();
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
-    Break(end);
+    ReportCrash(end);
   }
   LONGS_EQUAL(2, m_log.m_topics["quarantine"].size());
-  Begin();
+  StartFeed();
   CHECK(m_core.m_crashesLoaded);
   CHECK(m_core.m_crashes.IsQuarantined(m_request));
 }
 
-TEST(QuarantineFeed, EndsOfTwoHostsThatRecordedEachItsOwnAreCountedTogether)
+TEST(QuarantineFeed, MergesCrashesRecordedByDifferentHosts)
 {
   const std::string key = base::ToHex(m_request);
   m_log.AppendKeyed(
     "quarantine", key, peers::Encode({ { 1, 2 }, false, false }), [](const auto&) {});
-  Begin();
-  Break(3);
-  Begin();
+  StartFeed();
+  ReportCrash(3);
+  StartFeed();
   CHECK(m_core.m_crashes.IsQuarantined(m_request));
 }
 
-TEST(QuarantineFeed, AWholeAnswerRemovesTheRecord)
+TEST(QuarantineFeed, CompleteReplyRemovesRecord)
 {
-  Begin();
-  Break(1);
-  Break(2);
-  Break(3);
+  StartFeed();
+  ReportCrash(1);
+  ReportCrash(2);
+  ReportCrash(3);
   m_core.m_crashes.OnAnswered(m_request);
-  m_feed->OnOwn(m_request);
-  Begin();
+  m_feed->OnLocalChange(m_request);
+  StartFeed();
   CHECK_FALSE(m_core.m_crashes.Find(m_request).has_value());
 }
 
-TEST(QuarantineFeed, RecordsOfAnotherWriterHoldNothingUp)
+TEST(QuarantineFeed, UnreadableRecordsAreSkipped)
 {
   m_log.AppendKeyed("quarantine", "not hex", "x", [](const auto&) {});
   m_log.AppendKeyed("quarantine", base::ToHex({ 3, 4 }), "damaged", [](const auto&) {});
   const std::string key = base::ToHex(m_request);
   m_log.AppendKeyed(
     "quarantine", key, peers::Encode({ { 1, 2, 3 }, false, false }), [](const auto&) {});
-  Begin();
+  StartFeed();
   CHECK(m_core.m_crashes.IsQuarantined(m_request));
 }
 
-TEST(QuarantineFeed, WhatCouldNotBeRecordedIsRecordedLater)
+TEST(QuarantineFeed, FailedWriteIsRetried)
 {
-  Begin();
+  StartFeed();
   m_log.m_down = true;
-  Break(1);
-  Break(2);
+  ReportCrash(1);
+  ReportCrash(2);
   m_log.m_down = false;
   CHECK(m_log.m_topics["quarantine"].empty());
   m_loop.RunFor(1600ms);
   CHECK_FALSE(m_log.m_topics["quarantine"].empty());
 }
 
-TEST(QuarantineFeed, ATryIsRecordedBeforeItIsMadeSoThatNoHostMakesAnother)
+TEST(QuarantineFeed, ProbeIsRecordedBeforeItIsSent)
 {
-  Begin();
+  StartFeed();
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
-    Break(end);
+    ReportCrash(end);
   }
   const base::TimePoint later = base::MonotonicNow() + 1h;
-  std::optional<bool> may;
+  std::optional<bool> granted;
   m_log.m_down = true;
-  m_feed->ClaimTry(m_request, [&](bool aMay) { may = aMay; });
-  CHECK(may == false);
+  m_feed->ClaimProbe(m_request, [&](bool aGranted) { granted = aGranted; });
+  CHECK(granted == false);
   CHECK(m_core.m_crashes.MayTry(m_request, later));
   m_log.m_down = false;
-  m_feed->ClaimTry(m_request, [&](bool aMay) { may = aMay; });
-  CHECK(may == true);
+  m_feed->ClaimProbe(m_request, [&](bool aGranted) { granted = aGranted; });
+  CHECK(granted == true);
   CHECK_FALSE(m_core.m_crashes.MayTry(m_request, later));
-  Begin();
+  StartFeed();
   CHECK(m_core.m_crashes.IsQuarantined(m_request));
   CHECK_FALSE(m_core.m_crashes.MayTry(m_request, later));
 }
--- a/src/ferrytray/relay/relay_front.cpp
+++ b/src/ferrytray/relay/relay_front.cpp
@@ -9,22 +9,22 @@
 
 void RelayFront::Handle(net::HttpRequest aRequest, std::shared_ptr<net::HttpReply> aReply)
 {
-  const base::Result<void> within = CheckLimits(aRequest);
+  const base::Result<void> limitsCheck = CheckLimits(aRequest);
   base::Result<CallerRequest> request = m_core.m_format.ReadRequest(std::move(aRequest));
   if (!request) {
     Refuse("", request.error(), aReply);
     return;
   }
-  if (!within) {
-    Refuse(request->m_id, within.error(), aReply);
+  if (!limitsCheck) {
+    Refuse(request->m_id, limitsCheck.error(), aReply);
     return;
   }
-  const base::Result<Admitted> admitted = Admit(*request);
-  if (!admitted) {
-    Refuse(request->m_id, admitted.error(), aReply);
+  const base::Result<RouteMatch> match = MatchRoute(*request);
+  if (!match) {
+    Refuse(request->m_id, match.error(), aReply);
     return;
   }
-  std::make_shared<Exchange>(m_core, std::move(*request), *admitted, std::move(aReply))->Start();
+  std::make_shared<Exchange>(m_core, std::move(*request), *match, std::move(aReply))->Start();
 }
 
 base::Result<void> RelayFront::CheckLimits(const net::HttpRequest& aRequest) const
@@ -44,38 +44,39 @@
   return {};
 }
 
-base::Result<Admitted> RelayFront::Admit(const CallerRequest& aRequest) const
+base::Result<RouteMatch> RelayFront::MatchRoute(const CallerRequest& aRequest) const
 {
-  Admitted admitted;
-  admitted.m_configuration = m_core.m_configuration;
-  if (!admitted.m_configuration) {
+  RouteMatch match;
+  match.m_configuration = m_core.m_configuration;
+  if (!match.m_configuration) {
     return base::Fail(base::ErrorCode::NotReady, "no configuration has been read yet");
   }
   if (!m_core.m_crashesLoaded) {
     return base::Fail(base::ErrorCode::NotReady,
                       "what is known of requests that end endpoints has not been read yet");
   }
-  if (m_core.m_beginsNothing) {
+  if (m_core.m_refusesNewRequests) {
     return base::Fail(base::ErrorCode::ShuttingDown, "this host stops");
   }
-  const bool behind = m_core.MayBeBehind(base::MonotonicNow());
-  const auto deny = [behind](base::ErrorCode aCode, const char* aMessage) {
-    return behind ? base::Fail(base::ErrorCode::NotReady, "the configuration may be out of date")
-                  : base::Fail(aCode, aMessage);
+  const bool mayBeStale = m_core.MayBeStale(base::MonotonicNow());
+  const auto deny = [mayBeStale](base::ErrorCode aCode, const char* aMessage) {
+    return mayBeStale
+             ? base::Fail(base::ErrorCode::NotReady, "the configuration may be out of date")
+             : base::Fail(aCode, aMessage);
   };
-  admitted.m_route = admitted.m_configuration->FindRoute(aRequest.m_hostName, aRequest.m_path);
-  if (admitted.m_route == nullptr) {
+  match.m_route = match.m_configuration->FindRoute(aRequest.m_hostName, aRequest.m_path);
+  if (match.m_route == nullptr) {
     return deny(base::ErrorCode::UnknownPath, "no route serves this path");
   }
   const bool needsKey =
-    !admitted.m_route->m_public && !admitted.m_configuration->Get().m_accounts.empty();
+    !match.m_route->m_public && !match.m_configuration->Get().m_accounts.empty();
   if (needsKey) {
-    admitted.m_account = admitted.m_configuration->FindAccount(aRequest.m_key);
-    if (admitted.m_account == nullptr) {
+    match.m_account = match.m_configuration->FindAccount(aRequest.m_apiKey);
+    if (match.m_account == nullptr) {
       return deny(base::ErrorCode::UnknownKey, "the key belongs to no client account");
     }
   }
-  return admitted;
+  return match;
 }
 
 void RelayFront::Refuse(const std::string& aRequestId,
@@ -84,13 +85,13 @@
 {
   base::Failure failure = aFailure;
   if (base::HttpStatus(failure.m_code) >= 500) {
-    failure.m_retryAfter = m_core.m_options.m_comeBack;
+    failure.m_retryAfter = m_core.m_options.m_retryAfterDelay;
   }
-  const OwnAnswer answer = m_core.m_format.WriteFailure(aRequestId, failure);
-  if (m_core.m_leaving) {
+  const GeneratedReply reply = m_core.m_format.WriteFailure(aRequestId, failure);
+  if (m_core.m_stopping) {
     aReply->CloseAfter();
   }
-  aReply->Send(answer.m_status, answer.m_headers, answer.m_body);
+  aReply->Send(reply.m_status, reply.m_headers, reply.m_body);
   m_core.m_metrics.Count("answers_own_total{code=\"" +
                          std::to_string(static_cast<int>(failure.m_code)) + "\"}");
   const std::uint64_t version =
@@ -98,7 +99,7 @@
   telemetry::LogLine("own_answer")
     .Add("request", aRequestId)
     .Add("code", static_cast<int>(failure.m_code))
-    .Add("status", answer.m_status)
+    .Add("status", reply.m_status)
     .Add("run", base::ToString(failure.m_run))
     .Add("configuration", version)
     .Add("operators_age_ms", m_core.OperatorsAgeMillis(base::MonotonicNow()))
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -19,17 +19,17 @@
 constexpr int kUnavailable = 503;
 
 // Callers' own limits are the configuration's and change with it; these bound memory only.
-constexpr std::size_t kMostBodyBytes = 16U << 20U;
+constexpr std::size_t kMaxBodyBytes = 16U << 20U;
 constexpr base::Duration kCallerReadTimeout = std::chrono::seconds(75);
 
 // Endpoints that end break off many requests at once; what is told of them goes together.
-constexpr base::Duration kTellCrashesAfter = std::chrono::milliseconds(20);
+constexpr base::Duration kCrashNoticeDelay = std::chrono::milliseconds(20);
 
 // After the configuration: a record log that answers for it and not for this is no reason to serve
 // nobody.
-constexpr base::Duration kQuarantineWithin = std::chrono::milliseconds(1500);
+constexpr base::Duration kQuarantineLoadTimeout = std::chrono::milliseconds(1500);
 
-constexpr base::Duration kLeaveCheck = std::chrono::milliseconds(50);
+constexpr base::Duration kShutdownCheckInterval = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -46,7 +46,7 @@
            aPorts.m_client,
            m_log,
            m_core.m_stores,
-           m_core.m_otherLoads,
+           m_core.m_peerLoads,
            m_core.m_reloads,
            m_core.m_crashes,
            WithTopic(m_options.m_peers, aPorts.m_records))
@@ -56,7 +56,7 @@
               m_log,
               m_core.m_directory,
               aPorts.m_orders,
-              m_core.m_wanted,
+              m_core.m_desiredWeights,
               m_options.m_rollout)
 {
 }
@@ -67,28 +67,29 @@
   if (!listening) {
     return listening;
   }
-  m_news.OnDirect([this](bool aDirect) {
-    m_stores.SetDirect(aDirect);
-    m_rollout.SetStandby(!aDirect);
+  m_news.OnDirect([this](bool aIsReader) {
+    m_stores.SetReader(aIsReader);
+    m_rollout.SetStandby(!aIsReader);
   });
   for (auto& topic : m_feeds.Topics()) {
     m_news.AddTopic(std::move(topic));
   }
   m_news.AddTopic(m_quarantine.Topic());
   m_core.m_dispatcher = &m_dispatcher;
-  m_core.m_onReplaced = [this](const std::string& aIncarnation) {
+  m_core.m_onEndpointReplaced = [this](const std::string& aIncarnation) {
     m_news.TellReplaced(aIncarnation);
   };
-  m_news.OnReplaced([this](peers::IncarnationKey aKey) { OnReplaced(aKey); });
-  m_core.m_isAmongHosts = [this](const std::string& aName, std::size_t aFirst) {
+  m_news.OnReplaced([this](peers::IncarnationKey aKey) { OnEndpointReplaced(aKey); });
+  m_core.m_isAmongFirstHosts = [this](const std::string& aName, std::size_t aFirst) {
     return m_news.IsAmong(aName, aFirst);
   };
-  m_news.OwnLoads([this] { return OwnLoads(); });
+  m_news.OwnLoads([this] { return LocalLoads(); });
   m_news.OnReloads([this] { m_rollout.NoteOthersOrder(base::MonotonicNow()); });
   m_feeds.OnConfigured([this] {
     m_stores.OnConfiguration();
-    if (!m_core.m_crashesLoaded && !m_withoutQuarantine) {
-      m_withoutQuarantine = m_loop.After(kQuarantineWithin, [this] { ServeWithoutQuarantine(); });
+    if (!m_core.m_crashesLoaded && !m_quarantineLoadTimer) {
+      m_quarantineLoadTimer =
+        m_loop.After(kQuarantineLoadTimeout, [this] { ServeWithoutQuarantine(); });
     }
   });
   StartQuarantine();
@@ -97,7 +98,7 @@
   }
   m_rollout.SetStandby(true); // until it is known to be one of those that read
   m_rollout.AddDuty(m_upkeep);
-  m_rollout.OnReload([this](const rollout::PlannedReload& aReload) { OnReload(aReload); });
+  m_rollout.OnReload([this](const rollout::PlannedReload& aReload) { OnReloadPlanned(aReload); });
   m_rollout.Start();
   telemetry::LogLine("start")
     .Add("callers", net::ToString(CallerAddress()))
@@ -122,37 +123,37 @@
   m_core.m_onCrashesChanged = [this](const quarantine::RequestKey& aRequest) {
     OnCrashesChanged(aRequest);
   };
-  m_news.OnCrashes([this] { m_quarantine.OnChange(); });
-  m_quarantine.OnRank([this](const quarantine::RequestKey& aRequest) {
-    constexpr std::size_t kFirst = 2;
-    if (m_news.IsAmong(base::ToHex(aRequest), kFirst)) {
+  m_news.OnCrashes([this] { m_quarantine.OnBoardChanged(); });
+  m_quarantine.SetRankFunction([this](const quarantine::RequestKey& aRequest) {
+    constexpr std::size_t kFirstWriters = 2;
+    if (m_news.IsAmong(base::ToHex(aRequest), kFirstWriters)) {
       return quarantine::WriterRank::First;
     }
     return m_news.IsReader() ? quarantine::WriterRank::Reader : quarantine::WriterRank::Other;
   });
-  m_core.m_claimTry = [this](const quarantine::RequestKey& aRequest,
-                             std::function<void(bool)> aDone) {
+  m_core.m_claimProbe = [this](const quarantine::RequestKey& aRequest,
+                               std::function<void(bool)> aDone) {
     if (m_news.IsAmong(base::ToHex(aRequest), 1)) {
-      m_quarantine.ClaimTry(aRequest, std::move(aDone));
+      m_quarantine.ClaimProbe(aRequest, std::move(aDone));
     } else {
       aDone(false);
     }
   };
   m_quarantine.Start();
-  const base::Duration alone = m_options.m_feeds.m_quarantineAlone;
-  m_aloneTimer = m_loop.Every(alone, [this, alone] {
-    if (m_news.IsAlone(alone, base::MonotonicNow())) {
-      m_quarantine.OnAlone();
+  const base::Duration interval = m_options.m_feeds.m_quarantineIsolatedInterval;
+  m_isolationTimer = m_loop.Every(interval, [this, interval] {
+    if (m_news.IsAlone(interval, base::MonotonicNow())) {
+      m_quarantine.OnIsolated();
     }
   });
 }
 
 void RelayHost::OnCrashesChanged(const quarantine::RequestKey& aRequest)
 {
-  m_quarantine.OnOwn(aRequest);
-  if (!m_tellsCrashes) {
-    m_tellsCrashes = m_loop.After(kTellCrashesAfter, [this] {
-      m_tellsCrashes.reset();
+  m_quarantine.OnLocalChange(aRequest);
+  if (!m_crashNoticeTimer) {
+    m_crashNoticeTimer = m_loop.After(kCrashNoticeDelay, [this] {
+      m_crashNoticeTimer.reset();
       m_news.TellCrashes();
     });
   }
@@ -162,7 +163,7 @@
 {
   net::HttpServerOptions callers;
   callers.m_listen = m_options.m_callers;
-  callers.m_maxBodyBytes = kMostBodyBytes;
+  callers.m_maxBodyBytes = kMaxBodyBytes;
   callers.m_readTimeout = kCallerReadTimeout;
   auto callerServer = net::HttpServer::Create(
     m_loop, callers, [this](net::HttpRequest aRequest, std::shared_ptr<net::HttpReply> aReply) {
@@ -188,8 +189,8 @@
     m_loop,
     metrics,
     [this](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
-      m_core.m_metrics.Set("open_requests", static_cast<double>(m_core.m_open));
-      CountEvacuated();
+      m_core.m_metrics.Set("open_requests", static_cast<double>(m_core.m_openExchanges));
+      UpdateEvacuationGauges();
       aReply->Send(
         kOk, { { "Content-Type", "text/plain; version=0.0.4" } }, m_core.m_metrics.Render());
     });
@@ -202,7 +203,7 @@
   return {};
 }
 
-void RelayHost::OnReplaced(peers::IncarnationKey aKey)
+void RelayHost::OnEndpointReplaced(peers::IncarnationKey aKey)
 {
   for (const fleet::Endpoint* endpoint : m_core.m_directory.All()) {
     if (peers::KeyOf(endpoint->m_incarnation) == aKey) {
@@ -214,7 +215,7 @@
   }
 }
 
-void RelayHost::CountEvacuated()
+void RelayHost::UpdateEvacuationGauges()
 {
   std::map<std::string, double> open;
   for (const std::string& zone : m_core.m_directory.EvacuatedZones()) {
@@ -222,7 +223,7 @@
   }
   for (const fleet::Endpoint* endpoint : m_core.m_directory.All()) {
     if (const auto zone = open.find(endpoint->m_zone); zone != open.end()) {
-      zone->second += m_core.m_board.Open(endpoint->m_incarnation);
+      zone->second += m_core.m_endpointBoard.Open(endpoint->m_incarnation);
     }
   }
   for (const auto& [zone, requests] : open) {
@@ -230,30 +231,30 @@
   }
 }
 
-peers::EndpointLoads RelayHost::OwnLoads() const
+peers::EndpointLoads RelayHost::LocalLoads() const
 {
   peers::EndpointLoads loads;
-  m_core.m_board.ForEachOpen([&](const std::string& aEndpoint, routing::Work aWork) {
+  m_core.m_endpointBoard.ForEachOpen([&](const std::string& aEndpoint, routing::Work aWork) {
     loads.push_back({ peers::TagOf(aEndpoint), static_cast<std::uint16_t>(aWork) });
   });
   return loads;
 }
 
-void RelayHost::OnReload(const rollout::PlannedReload& aReload)
+void RelayHost::OnReloadPlanned(const rollout::PlannedReload& aReload)
 {
   const base::TimePoint now = base::MonotonicNow();
-  const auto left =
+  const auto remaining =
     std::chrono::duration_cast<std::chrono::milliseconds>(aReload.m_until - now).count();
   m_core.m_reloads.OnNotice({ peers::TagOf(aReload.m_incarnation),
                               aReload.m_model,
                               aReload.m_version,
-                              static_cast<std::int32_t>(left),
+                              static_cast<std::int32_t>(remaining),
                               aReload.m_revision },
                             now);
-  if (!std::exchange(m_tellsReloads, true)) {
+  if (!std::exchange(m_reloadNoticePending, true)) {
     // Reloads are planned many at a time.
     m_loop.Post([this] {
-      m_tellsReloads = false;
+      m_reloadNoticePending = false;
       m_news.TellReloads();
     });
   }
@@ -261,43 +262,43 @@
 
 void RelayHost::AnswerReadiness(const std::shared_ptr<net::HttpReply>& aReply) const
 {
-  const bool ready = m_feeds.Loaded() && m_core.m_crashesLoaded && !m_core.m_leaving;
+  const bool ready = m_feeds.Loaded() && m_core.m_crashesLoaded && !m_core.m_stopping;
   aReply->Send(ready ? kOk : kUnavailable, {}, ready ? "ready\n" : "not ready\n");
 }
 
-void RelayHost::Leave(std::function<void()> aDone)
+void RelayHost::Shutdown(std::function<void()> aDone)
 {
-  if (std::exchange(m_core.m_leaving, true)) {
+  if (std::exchange(m_core.m_stopping, true)) {
     return;
   }
-  telemetry::LogLine("stop").Add("outcome", "begun").Add("open", m_core.m_open);
-  m_onLeft = std::move(aDone);
+  telemetry::LogLine("stop").Add("outcome", "begun").Add("open", m_core.m_openExchanges);
+  m_onStopped = std::move(aDone);
   m_news.Leave();
-  m_leavingSince = base::MonotonicNow();
+  m_stoppingSince = base::MonotonicNow();
   m_rollout.Stop();
-  m_leaveTimer = m_loop.Every(kLeaveCheck, [this] { CheckLeft(); });
+  m_shutdownTimer = m_loop.Every(kShutdownCheckInterval, [this] { CheckShutdown(); });
 }
 
-void RelayHost::CheckLeft()
+void RelayHost::CheckShutdown()
 {
-  const base::Duration passed = base::MonotonicNow() - m_leavingSince;
-  if (passed >= m_options.m_leaveRefuseAfter) {
-    m_core.m_beginsNothing = true;
+  const base::Duration passed = base::MonotonicNow() - m_stoppingSince;
+  if (passed >= m_options.m_refuseNewAfter) {
+    m_core.m_refusesNewRequests = true;
     m_callers->CloseIdle();
   }
-  const bool finished =
-    m_core.m_open == 0 && m_callers->Unanswered() == 0 && passed >= m_options.m_leaveAtLeast;
-  if (!finished && passed < m_options.m_leaveAtMost) {
+  const bool finished = m_core.m_openExchanges == 0 && m_callers->Unanswered() == 0 &&
+                        passed >= m_options.m_minDrainTime;
+  if (!finished && passed < m_options.m_maxDrainTime) {
     return;
   }
-  telemetry::LogLine("stop").Add("outcome", "done").Add("open", m_core.m_open);
+  telemetry::LogLine("stop").Add("outcome", "done").Add("open", m_core.m_openExchanges);
   m_feeds.Stop();
   m_quarantine.Stop();
-  m_aloneTimer.reset();
+  m_isolationTimer.reset();
   m_news.Stop();
   m_stores.Stop();
-  m_leaveTimer->Cancel();
-  m_onLeft();
+  m_shutdownTimer->Cancel();
+  m_onStopped();
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// The users' platform judges a host from 3 s after its start.
-constexpr base::Duration kStartExcuse = std::chrono::milliseconds(2500);
+constexpr base::Duration kStartupGrace = std::chrono::milliseconds(2500);
 
 } // namespace
 
@@ -26,9 +26,9 @@
   operators.m_topic = aFormat.OperatorTopic();
   operators.m_wait = aOptions.m_operatorWait;
   operators.m_pause = {};
-  operators.m_patience = aOptions.m_operatorPatience;
-  operators.m_newsFresh = aOptions.m_operatorNewsFresh;
-  store::FollowEvents onOperators = EventsFor(operators.m_topic);
+  operators.m_patience = aOptions.m_operatorGrace;
+  operators.m_newsFresh = aOptions.m_operatorPeerMaxAge;
+  store::FollowEvents onOperators = MakeFollowEvents(operators.m_topic);
   onOperators.m_onRecord = [this](const store::Record& aRecord) {
     OnOperatorRecord(aRecord);
     return true;
@@ -43,8 +43,8 @@
   endpoints.m_topic = aFormat.EndpointTopic();
   endpoints.m_pause = aOptions.m_endpointPause;
   endpoints.m_servingPause = aOptions.m_endpointServingPause;
-  endpoints.m_newsFresh = aOptions.m_endpointNewsFresh;
-  store::FollowEvents onEndpoints = EventsFor(endpoints.m_topic);
+  endpoints.m_newsFresh = aOptions.m_endpointPeerMaxAge;
+  store::FollowEvents onEndpoints = MakeFollowEvents(endpoints.m_topic);
   onEndpoints.m_onRecord = [this](const store::Record& aRecord) {
     return OnEndpointRecord(aRecord);
   };
@@ -62,7 +62,7 @@
   m_endpoints->Stop();
 }
 
-store::FollowEvents StateFeeds::EventsFor(const std::string& aTopic)
+store::FollowEvents StateFeeds::MakeFollowEvents(const std::string& aTopic)
 {
   store::FollowEvents events;
   const bool isDirectory = aTopic == m_format.EndpointTopic();
@@ -70,7 +70,7 @@
     const base::TimePoint now = base::MonotonicNow();
     m_core.m_lastContact = std::max(m_core.m_lastContact.value_or(aAt), aAt);
     if (!isDirectory) {
-      m_core.m_operatorsHeardAt = aAt;
+      m_core.m_operatorsReadAt = aAt;
     }
     if (!aWasAway) {
       return;
@@ -123,8 +123,8 @@
       evacuated.insert(*zone);
     }
   }
-  const std::set<std::string> before = m_core.m_directory.EvacuatedZones();
-  for (const std::string& zone : before) {
+  const std::set<std::string> previous = m_core.m_directory.EvacuatedZones();
+  for (const std::string& zone : previous) {
     if (!evacuated.contains(zone)) {
       SetEvacuated(zone, false);
     }
@@ -190,18 +190,18 @@
     m_core.m_unreadable.Note(aRecord, read.error());
     return;
   }
-  fleet::WeightVersion& wanted = m_core.m_wanted[read->m_model];
-  if (read->m_version <= wanted) {
+  fleet::WeightVersion& desired = m_core.m_desiredWeights[read->m_model];
+  if (read->m_version <= desired) {
     return;
   }
-  wanted = read->m_version;
+  desired = read->m_version;
   // A host that starts does not know for how long they have been named. It counts as long ago, but
   // for the time in which a host that has just started is excused.
   const base::TimePoint now = base::MonotonicNow();
-  m_core.m_named.OnNamed(read->m_model,
-                         read->m_version,
-                         m_operatorsLoaded ? now
-                                           : now - m_core.m_options.m_weightsDue + kStartExcuse);
+  m_core.m_namedWeights.OnNamed(
+    read->m_model,
+    read->m_version,
+    m_operatorsLoaded ? now : now - m_core.m_options.m_weightsDue + kStartupGrace);
   telemetry::LogLine("weights_named")
     .Add("model", read->m_model)
     .Add("version", read->m_version)
@@ -210,26 +210,27 @@
 
 void StateFeeds::ForgetEndpoint(const std::string& aIncarnation)
 {
-  m_core.m_board.Forget(aIncarnation);
-  m_core.m_cold.Forget(aIncarnation);
+  m_core.m_endpointBoard.Forget(aIncarnation);
+  m_core.m_coldStarts.Forget(aIncarnation);
 }
 
-bool StateFeeds::IsOfAnotherWriter(const fleet::Endpoint& aEndpoint) const
+bool StateFeeds::ConflictsWithKnownEndpoint(const fleet::Endpoint& aEndpoint) const
 {
   const fleet::Endpoint* known = m_core.m_directory.FindById(aEndpoint.m_id);
   return known != nullptr && known->m_service != aEndpoint.m_service && m_core.m_configuration &&
          m_core.m_configuration->FindService(aEndpoint.m_service) == nullptr;
 }
 
-bool StateFeeds::TellsNews(const std::string& aKey, const fleet::Endpoint& aEndpoint)
+bool StateFeeds::UpdateLastRecord(const std::string& aKey, const fleet::Endpoint& aEndpoint)
 {
-  fleet::Endpoint told = aEndpoint;
+  fleet::Endpoint current = aEndpoint;
   // A cold endpoint tells with each heartbeat that less time is left.
-  told.m_coldFor = told.m_coldFor > base::Duration::zero() ? base::Duration(1) : base::Duration();
-  fleet::Endpoint& before = m_told[aKey];
-  const bool news = before != told;
-  before = std::move(told);
-  return news;
+  current.m_coldFor =
+    current.m_coldFor > base::Duration::zero() ? base::Duration(1) : base::Duration();
+  fleet::Endpoint& previous = m_lastRecords[aKey];
+  const bool changed = previous != current;
+  previous = std::move(current);
+  return changed;
 }
 
 bool StateFeeds::OnEndpointRecord(const store::Record& aRecord)
@@ -241,21 +242,21 @@
       ForgetEndpoint(removed->m_incarnation);
     }
     m_core.m_directory.Remove(aRecord.m_key, now);
-    m_told.erase(aRecord.m_key);
+    m_lastRecords.erase(aRecord.m_key);
     return true;
   }
   base::Result<fleet::Endpoint> read = m_format.ReadEndpoint(aRecord.m_key, aRecord.m_value);
-  if (read && IsOfAnotherWriter(*read)) {
+  if (read && ConflictsWithKnownEndpoint(*read)) {
     read = base::Fail(base::ErrorCode::PlatformMalformed,
                       "the service " + read->m_service + " is not declared");
   }
   if (!read) {
     m_core.m_unreadable.Note(aRecord, read.error());
-    // A host that is given the newest records has only this one: the next readable one is news.
-    m_told.erase(aRecord.m_key);
+    // A host that is given the newest records has only this one: the next readable one is changed.
+    m_lastRecords.erase(aRecord.m_key);
     return false;
   }
-  const bool news = TellsNews(aRecord.m_key, *read);
+  const bool changed = UpdateLastRecord(aRecord.m_key, *read);
   const fleet::Endpoint* known = m_core.m_directory.Find(read->m_incarnation);
   if (known == nullptr || known->m_leaving != read->m_leaving) {
     telemetry::LogLine("endpoint")
@@ -265,16 +266,16 @@
       .Add("state", read->m_leaving ? "leaving" : "usable")
       .Add("offset", aRecord.m_offset);
   }
-  const fleet::Endpoint* before = m_core.m_directory.FindById(aRecord.m_key);
-  if (ColdTraitsOf(m_core, read->m_service) != nullptr) {
-    m_core.m_cold.OnTold(read->m_incarnation, read->m_coldFor, before == nullptr, now);
+  const fleet::Endpoint* previous = m_core.m_directory.FindById(aRecord.m_key);
+  if (FindColdTraits(m_core, read->m_service) != nullptr) {
+    m_core.m_coldStarts.OnTold(read->m_incarnation, read->m_coldFor, previous == nullptr, now);
   }
-  const std::string former = before == nullptr ? "" : before->m_incarnation;
+  const std::string former = previous == nullptr ? "" : previous->m_incarnation;
   m_core.m_directory.Upsert(std::move(*read), now);
   if (!former.empty() && m_core.m_directory.Find(former) == nullptr) {
     ForgetEndpoint(former);
   }
-  return news;
+  return changed;
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -14,7 +14,7 @@
 constexpr base::Duration kColdFor = 3s;
 
 /// Records of words: an endpoint's entry is "BIRTH ZONE", an evacuation's key "leave ZONE".
-class FakeRecords final : public relay::RecordFormat
+class FakeRecordFormat final : public relay::RecordFormat
 {
 public:
   [[nodiscard]] std::string OperatorTopic() const override { return "operators"; }
@@ -62,7 +62,7 @@
 TEST_GROUP_BASE(StateFeeds, support::ExchangeFixture)
 {
   support::MemoryRecordLog m_log;
-  FakeRecords m_records;
+  FakeRecordFormat m_records;
   std::optional<relay::StateFeeds> m_feeds;
 
   void teardown() override
@@ -70,12 +70,12 @@
     m_feeds->Stop();
   }
 
-  void Write(const char* aTopic, const char* aKey, const char* aValue)
+  void Append(const char* aTopic, const char* aKey, const char* aValue)
   {
     m_log.AppendKeyed(aTopic, aKey, aValue, [](const auto&) {});
   }
   /// Reads both topics from their beginning.
-  void Read(const relay::FeedOptions& aOptions = {})
+  void StartFeeds(const relay::FeedOptions& aOptions = {})
   {
     if (m_feeds) {
       m_feeds->Stop();
@@ -86,7 +86,7 @@
     }
   }
   /// As another host passes records on.
-  void Hear(const char* aTopic, std::vector<store::Record> aRecords)
+  void DeliverFromPeer(const char* aTopic, std::vector<store::Record> aRecords)
   {
     for (const auto& topic : m_feeds->Topics()) {
       if (topic->Topic() == aTopic) {
@@ -101,109 +101,109 @@
   }
 };
 
-TEST(StateFeeds, AnEvacuationStandsUntilItsRecordIsRemoved)
+TEST(StateFeeds, EvacuationLastsUntilRecordIsRemoved)
 {
-  Write("operators", "configuration", "x");
-  Write("operators", "leave z1", "{}");
-  Write("endpoints", "e", "1 z1");
-  Write("endpoints", "f", "1 z2");
-  Read();
+  Append("operators", "configuration", "x");
+  Append("operators", "leave z1", "{}");
+  Append("endpoints", "e", "1 z1");
+  Append("endpoints", "f", "1 z2");
+  StartFeeds();
   LONGS_EQUAL(1, m_core.m_directory.EvacuatedZones().size());
   STRCMP_EQUAL("f", m_core.m_directory.Usable("s").back()->m_id.c_str());
-  Hear("operators", { { 2, "leave z1", "", true } });
+  DeliverFromPeer("operators", { { 2, "leave z1", "", true } });
   CHECK(m_core.m_directory.EvacuatedZones().empty());
 }
 
-TEST(StateFeeds, AnEvacuationThatASnapshotNoLongerListsIsOver)
+TEST(StateFeeds, EvacuationMissingFromSnapshotEnds)
 {
-  Write("operators", "configuration", "x");
+  Append("operators", "configuration", "x");
   m_core.m_directory.SetEvacuated("z1", true);
-  Read();
+  StartFeeds();
   CHECK(m_core.m_directory.EvacuatedZones().empty());
 }
 
-TEST(StateFeeds, EnginesOfAZoneThatIsTakenBackMayBeCold)
+TEST(StateFeeds, EnginesOfReadmittedZoneAreSuspectedCold)
 {
-  Write("operators", "configuration", "x");
-  Write("operators", "leave z1", "{}");
-  Write("endpoints", "e", "1 z1");
-  Write("endpoints", "f", "1 z2");
-  Read();
-  Hear("operators", { { 2, "leave z1", "", true } });
+  Append("operators", "configuration", "x");
+  Append("operators", "leave z1", "{}");
+  Append("endpoints", "e", "1 z1");
+  Append("endpoints", "f", "1 z2");
+  StartFeeds();
+  DeliverFromPeer("operators", { { 2, "leave z1", "", true } });
   const base::TimePoint now = base::MonotonicNow();
-  CHECK(m_core.m_cold.IsCold(fleet::IncarnationOf("e", 1), now + kColdFor));
-  CHECK_FALSE(m_core.m_cold.IsCold(fleet::IncarnationOf("f", 1), now));
+  CHECK(m_core.m_coldStarts.IsCold(fleet::IncarnationOf("e", 1), now + kColdFor));
+  CHECK_FALSE(m_core.m_coldStarts.IsCold(fleet::IncarnationOf("f", 1), now));
 }
 
-TEST(StateFeeds, WhatWasLearntOfAFormerLifeIsForgotten)
+TEST(StateFeeds, StateOfPreviousIncarnationIsDropped)
 {
-  Write("operators", "configuration", "x");
-  Write("endpoints", "e", "1 z1");
-  Read();
+  Append("operators", "configuration", "x");
+  Append("endpoints", "e", "1 z1");
+  StartFeeds();
   const std::string former = fleet::IncarnationOf("e", 1);
-  m_core.m_board.OnSent(former, 3);
-  m_core.m_cold.OnTold(former, 10s, true, base::MonotonicNow());
-  Hear("endpoints", { { 1, "e", "2 z1", false } });
-  LONGS_EQUAL(0, m_core.m_board.OpenWork(former));
-  CHECK_FALSE(m_core.m_cold.IsCold(former, base::MonotonicNow()));
+  m_core.m_endpointBoard.OnSent(former, 3);
+  m_core.m_coldStarts.OnTold(former, 10s, true, base::MonotonicNow());
+  DeliverFromPeer("endpoints", { { 1, "e", "2 z1", false } });
+  LONGS_EQUAL(0, m_core.m_endpointBoard.OpenWork(former));
+  CHECK_FALSE(m_core.m_coldStarts.IsCold(former, base::MonotonicNow()));
   POINTERS_EQUAL(nullptr, m_core.m_directory.Find(former));
   CHECK(m_core.m_directory.FindById("e") != nullptr);
 }
 
-TEST(StateFeeds, AnUnreadableEntryLeavesTheKnownEndpointInUse)
+TEST(StateFeeds, UnreadableEntryKeepsKnownEndpoint)
 {
-  Write("operators", "configuration", "x");
-  Write("endpoints", "e", "1 z1");
-  Read();
-  Hear("endpoints", { { 1, "e", "spoilt", false } });
+  Append("operators", "configuration", "x");
+  Append("endpoints", "e", "1 z1");
+  StartFeeds();
+  DeliverFromPeer("endpoints", { { 1, "e", "spoilt", false } });
   CHECK(m_core.m_directory.FindById("e") != nullptr);
   CHECK_FALSE(m_core.m_directory.FindById("e")->m_leaving);
 }
 
-TEST(StateFeeds, HeartbeatsThatRepeatWhatIsKnownAreNotPassedOn)
+TEST(StateFeeds, UnchangedHeartbeatsAreNotForwarded)
 {
-  Write("operators", "configuration", "x");
-  Write("endpoints", "e", "1 z1");
-  Read();
-  const auto passedOn = [&] {
+  Append("operators", "configuration", "x");
+  Append("endpoints", "e", "1 z1");
+  StartFeeds();
+  const auto forwardedRecords = [&] {
     const auto topic = m_feeds->Topics()[1];
     return topic->NewsSince({ "endpoints", 1, false }, base::MonotonicNow())->m_records.size();
   };
-  Hear("endpoints", { { 1, "e", "1 z1", false }, { 2, "e", "1 z1", false } });
-  LONGS_EQUAL(0, passedOn());
-  Hear("endpoints", { { 3, "e", "1 z2", false } });
-  LONGS_EQUAL(1, passedOn());
+  DeliverFromPeer("endpoints", { { 1, "e", "1 z1", false }, { 2, "e", "1 z1", false } });
+  LONGS_EQUAL(0, forwardedRecords());
+  DeliverFromPeer("endpoints", { { 3, "e", "1 z2", false } });
+  LONGS_EQUAL(1, forwardedRecords());
   // After one that can't be read, the same is news: hosts that start now were given that one.
-  Hear("endpoints", { { 4, "e", "spoilt", false }, { 5, "e", "1 z2", false } });
-  LONGS_EQUAL(2, passedOn());
-  Hear("endpoints", { { 6, "e", "", true } });
-  LONGS_EQUAL(3, passedOn());
+  DeliverFromPeer("endpoints", { { 4, "e", "spoilt", false }, { 5, "e", "1 z2", false } });
+  LONGS_EQUAL(2, forwardedRecords());
+  DeliverFromPeer("endpoints", { { 6, "e", "", true } });
+  LONGS_EQUAL(3, forwardedRecords());
 }
 
-TEST(StateFeeds, AnEntryOfAnUndeclaredServiceDoesNotReplaceAKnownEndpoint)
+TEST(StateFeeds, EntryOfUndeclaredServiceDoesNotReplaceKnownEndpoint)
 {
-  Write("operators", "configuration", "x");
-  Write("endpoints", "e", "1 z1");
-  Read();
-  Hear("endpoints", { { 1, "e", "2 elsewhere", false } });
+  Append("operators", "configuration", "x");
+  Append("endpoints", "e", "1 z1");
+  StartFeeds();
+  DeliverFromPeer("endpoints", { { 1, "e", "2 elsewhere", false } });
   STRCMP_EQUAL("s", m_core.m_directory.FindById("e")->m_service.c_str());
   LONGS_EQUAL(1, m_core.m_directory.FindById("e")->m_born);
-  Hear("endpoints", { { 2, "f", "1 elsewhere", false } });
+  DeliverFromPeer("endpoints", { { 2, "f", "1 elsewhere", false } });
   CHECK(m_core.m_directory.FindById("f") != nullptr); // its configuration may come later
   LONGS_EQUAL(1, m_core.m_directory.Usable("s").size());
 }
 
 // Seen: a host denied what a newer configuration allows, sure of itself since its reads of the
 // directory went on; the read of the operators' topic was open and never answered.
-TEST(StateFeeds, ReadsOfTheDirectoryDoNotMakeAnOldConfigurationSure)
+TEST(StateFeeds, DirectoryReadsDoNotRefreshConfigurationAge)
 {
-  Write("operators", "configuration", "x");
-  Write("endpoints", "e", "1 z1");
-  m_core.m_options.m_deniesWithin = 100ms;
+  Append("operators", "configuration", "x");
+  Append("endpoints", "e", "1 z1");
+  m_core.m_options.m_maxDenialAge = 100ms;
   relay::FeedOptions options;
   options.m_endpointPause = options.m_endpointServingPause = 5ms;
   m_log.m_silentFor = "operators";
-  Read(options);
+  StartFeeds(options);
   LONGS_EQUAL(404, Ask("/none/x")->m_status);
   const std::size_t before = m_log.m_readsOf["endpoints"];
   m_loop.RunFor(300ms);
--- a/src/ferrytray/relay/store_watch.cpp
+++ b/src/ferrytray/relay/store_watch.cpp
@@ -4,34 +4,34 @@
 
 void StoreWatch::OnConfiguration()
 {
-  std::map<std::string, cache::StoreTraits> named;
+  std::map<std::string, cache::StoreTraits> configured;
   for (const fleet::Service& service : m_core.m_configuration->Get().m_services) {
     if (service.m_kvStore) {
-      named[service.m_kvStore->m_address] = { service.m_kvStore->m_tokens,
-                                              service.m_kvStore->m_linkMegabits };
+      configured[service.m_kvStore->m_address] = { service.m_kvStore->m_tokens,
+                                                   service.m_kvStore->m_linkMegabits };
     }
   }
   std::erase_if(m_core.m_stores, [&](const auto& aPair) {
-    const bool gone = !named.contains(aPair.first);
+    const bool removed = !configured.contains(aPair.first);
     const auto follower = m_followers.find(aPair.first);
-    if (gone && follower != m_followers.end()) {
+    if (removed && follower != m_followers.end()) {
       follower->second->Stop();
       m_followers.erase(follower);
     }
-    return gone;
+    return removed;
   });
-  for (const auto& [address, traits] : named) {
+  for (const auto& [address, traits] : configured) {
     const bool isNew = m_core.m_stores.try_emplace(address, traits).second;
-    if (isNew && m_direct) {
+    if (isNew && m_isReader) {
       Follow(address);
     }
   }
 }
 
-void StoreWatch::SetDirect(bool aDirect)
+void StoreWatch::SetReader(bool aIsReader)
 {
-  m_direct = aDirect;
-  if (!m_direct) {
+  m_isReader = aIsReader;
+  if (!m_isReader) {
     Stop();
     return;
   }
--- a/src/ferrytray/relay/upkeep_duty.cpp
+++ b/src/ferrytray/relay/upkeep_duty.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Looking through all stores costs more than the other duties' checks.
-constexpr base::Duration kLookEvery = std::chrono::seconds(1);
+constexpr base::Duration kPlanInterval = std::chrono::seconds(1);
 
 std::map<std::string, std::uint32_t> OldestWeights(const fleet::Directory& aDirectory)
 {
@@ -29,16 +29,16 @@
 bool UpkeepDuty::Pending(base::TimePoint aNow)
 {
   // Looked at again though something is due: another host may have done it meanwhile.
-  if (aNow >= m_lookedAt + kLookEvery) {
-    m_lookedAt = aNow;
-    m_due = m_upkeep.Plan(m_core.m_stores, OldestWeights(m_core.m_directory), aNow);
+  if (aNow >= m_plannedAt + kPlanInterval) {
+    m_plannedAt = aNow;
+    m_pendingFrees = m_upkeep.Plan(m_core.m_stores, OldestWeights(m_core.m_directory), aNow);
   }
-  return !m_due.empty();
+  return !m_pendingFrees.empty();
 }
 
 void UpkeepDuty::Act(base::TimePoint aNow)
 {
-  for (const cache::FreeParts& parts : std::exchange(m_due, {})) {
+  for (const cache::FreeParts& parts : std::exchange(m_pendingFrees, {})) {
     m_upkeep.OnAsked(parts.m_store, aNow);
     m_freer.Free(parts, [this, parts](bool aDone) {
       const auto store = m_core.m_stores.find(parts.m_store);
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -32,7 +32,7 @@
     request.m_path = aRequest.m_path;
     request.m_target = aRequest.m_path;
     request.m_body = aRequest.m_body;
-    request.m_key = std::string(aRequest.Header("key"));
+    request.m_apiKey = std::string(aRequest.Header("key"));
     request.m_deadline = 5s;
     if (aRequest.Header("model") == "m") {
       request.m_prompt = relay::Prompt{ "m", 10, 10, { { "p", 10 } } };
@@ -59,7 +59,7 @@
   {
     relay::ReplyHead head;
     head.m_status = aStatus;
-    head.m_forwarded = aHeaders;
+    head.m_forwardedHeaders = aHeaders;
     head.m_signed = true;
     head.m_requestId = "r1";
     for (const auto& [name, value] : aHeaders) {
@@ -71,8 +71,8 @@
     }
     return head;
   }
-  [[nodiscard]] relay::OwnAnswer WriteFailure(const std::string&,
-                                              const base::Failure& aFailure) const override
+  [[nodiscard]] relay::GeneratedReply WriteFailure(const std::string&,
+                                                   const base::Failure& aFailure) const override
   {
     const bool unknown = aFailure.m_run == base::RunState::Unknown;
     return { unknown ? 502 : base::HttpStatus(aFailure.m_code),
@@ -138,12 +138,12 @@
     const base::TimePoint now = base::MonotonicNow();
     m_core.m_configuration = ConfigurationOf(1);
     m_core.m_lastContact = now;
-    m_core.m_operatorsHeardAt = now;
+    m_core.m_operatorsReadAt = now;
     m_core.m_crashesLoaded = true;
     m_core.m_directory.Upsert(EndpointOf("a"), now);
     m_core.m_directory.Upsert(EndpointOf("b"), now);
     for (int i = 0; i < 100; ++i) {
-      m_core.m_retries.OnFirstSend("s", now);
+      m_core.m_retryWindow.OnFirstSend("s", now);
     }
   }
 
