--- a/include/ferrytray/relay/assignment.hpp
+++ b/include/ferrytray/relay/assignment.hpp
@@ -5,14 +5,15 @@
 
 namespace ferrytray::relay {
 
-/// @brief The engine that a long prompt was given to.
+/// @brief The engine that a prompt dispatcher assigned to a long prompt.
 struct Assignment
 {
-  std::string m_engine;      ///< incarnation; empty: none, the host chooses by itself
-  std::string m_cacheHolder; ///< another engine that read its shared part lately, or empty
+  std::string m_engine;      ///< incarnation; empty: no engine assigned, this host chooses one
+  std::string m_cacheHolder; ///< incarnation of another engine that recently read the prompt's
+                             ///< shared part, or empty
   std::uint32_t m_prefillTokens = 0;
-  bool m_engineIdle = false;     ///< nothing waits at that engine
-  bool m_allEnginesFull = false; ///< the memory of all engines is taken
+  bool m_engineIdle = false;     ///< no prompt is queued at the assigned engine
+  bool m_allEnginesFull = false; ///< no engine has memory for the prompt
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/attempt_policy.hpp
+++ b/include/ferrytray/relay/attempt_policy.hpp
@@ -7,55 +7,57 @@
 
 namespace ferrytray::relay {
 
-/// @brief How one send to an endpoint ended, when it did not end in a success.
+/// @brief The outcome of an unsuccessful attempt to send a request to an endpoint.
 enum class AttemptOutcome : std::uint8_t
 {
   NotSent,    ///< no byte of the request reached the endpoint
-  NotRun,     ///< the endpoint states that it has not run it
-  ErrorReply, ///< a whole reply that is not a success; it has run
-  Broken,     ///< sent, and the reply is missing, cut short or not this request's: it may have run
+  NotRun,     ///< the endpoint reports that it has not executed the request
+  ErrorReply, ///< complete reply with an error status; the request was executed
+  Broken,     ///< sent, but the reply is missing, truncated or invalid; the request may have been
+              ///< executed
 };
 
-/// @brief The word for it in logs.
+/// @brief The value of the "end" key in log lines.
 std::string_view ToString(AttemptOutcome aOutcome);
 
-/// @brief What is done with the request next.
+/// @brief What the exchange does after an unsuccessful attempt.
 enum class NextStep : std::uint8_t
 {
-  Retry,        ///< send it again, or let the stream go on, at another endpoint
-  ForwardReply, ///< give the endpoint's own failure to the caller
-  Refuse,       ///< not run, and never will be
-  FailUnknown,  ///< it may have run
-  AbortReply,   ///< part of the answer is with the caller: close without an end
+  Retry,        ///< resend the request, or resume the stream, at another endpoint
+  ForwardReply, ///< forward the endpoint's error reply to the caller
+  Refuse,       ///< answer with an error: the request was not executed and will not be
+  FailUnknown,  ///< answer with an error: the request may have been executed
+  AbortReply,   ///< the caller has part of the reply: close the connection without an end
 };
 
-/// @brief What decides the next step.
+/// @brief The state of a request on which the next step depends.
 struct RetryContext
 {
   AttemptOutcome m_outcome = AttemptOutcome::Broken;
-  bool m_repeatable = false;         ///< the route allows to run it again
-  bool m_replyStarted = false;       ///< the caller has part of the answer
-  bool m_mayHaveRun = false;         ///< at this or an earlier endpoint
-  bool m_forwardable = false;        ///< the failure is a whole reply that the caller may get
-  std::uint32_t m_endpointsUsed = 0; ///< endpoints on which it ran or may have run
+  bool m_repeatable = false;         ///< the route allows the request to be executed more than once
+  bool m_replyStarted = false;       ///< part of the reply was sent to the caller
+  bool m_mayHaveRun = false;         ///< by this or an earlier endpoint
+  bool m_forwardable = false;        ///< the error reply may be forwarded to the caller
+  std::uint32_t m_endpointsUsed = 0; ///< endpoints that executed or may have executed the request
   std::uint32_t m_maxEndpoints = 1;
   std::uint32_t m_sends = 1;
-  base::Duration m_remaining{}; ///< until the answer is due
+  base::Duration m_remaining{}; ///< until the deadline
 };
 
 struct AttemptLimits
 {
-  /// Sends of one request, refused ones included; the shared retry budget is the tighter bound.
+  /// Sends per request, including refused ones. The shared retry budget usually limits sends
+  /// earlier.
   std::uint32_t m_maxSends = 4;
-  /// With less time left, another send would only be thrown away.
+  /// With less time remaining, another send could not be answered before the deadline.
   base::Duration m_minRemaining = std::chrono::milliseconds(60);
 };
 
-/// @brief Whether another send is allowed, but for the shared budget of repeats.
+/// @brief Whether another send is allowed; does not check the shared retry budget.
 [[nodiscard]] bool MayRetry(const RetryContext& aContext, const AttemptLimits& aLimits);
 
-/// @brief Decides what happens after a send that did not succeed.
-/// @param aRetryGranted MayRetry() held and the budget granted the repeat
+/// @brief Decides what happens after an unsuccessful attempt.
+/// @param aRetryGranted MayRetry() returned true and the shared budget granted the retry
 [[nodiscard]] NextStep DecideNextStep(const RetryContext& aContext, bool aRetryGranted);
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/call_planner.hpp
+++ b/include/ferrytray/relay/call_planner.hpp
@@ -11,24 +11,25 @@
 #include "ferrytray/relay/caller_request.hpp" // for CallerRequest
 #include "ferrytray/relay/endpoint_call.hpp"  // for EndpointCall
 #include "ferrytray/relay/relay_core.hpp"     // for RelayCore
-#include "ferrytray/relay/route_match.hpp"    // for Admitted
+#include "ferrytray/relay/route_match.hpp"    // for RouteMatch
 
 namespace ferrytray::relay {
 
-/// @brief Where a send goes.
+/// @brief The endpoint selected for a send.
 struct Target
 {
   const fleet::Endpoint* m_endpoint = nullptr; ///< null: no endpoint is usable
-  std::string m_partSource;     ///< IP:PORT of another endpoint that may hold the prompt's parts
-  routing::Work m_openWork = 0; ///< open at the endpoint, as far as known, when it was chosen
-  bool m_memoryFull = false;    ///< a prompt would wait for memory there and at its other homes
+  std::string m_partSource;     ///< IP:PORT of another endpoint that may hold cached parts of the
+                                ///< prompt, or empty
+  routing::Work m_openWork = 0; ///< last known open work of the endpoint when it was selected
+  bool m_memoryFull = false;    ///< a prompt would wait for memory at all its home endpoints
 };
 
-/// @brief Decides for one request which endpoint it is sent to and what that send says.
+/// @brief Selects the endpoint for each send of a request and builds the call to it.
 class CallPlanner
 {
 public:
-  /// Keeps references to all three.
+  /// Keeps references to all three arguments.
   CallPlanner(RelayCore& aCore, const CallerRequest& aRequest, const RouteMatch& aRouteMatch)
     : m_core(aCore)
     , m_request(aRequest)
@@ -36,23 +37,23 @@
   {
   }
 
-  /// @brief One of the route's services, by their weights.
+  /// @brief Picks one of the route's services at random, by weight.
   [[nodiscard]] const std::string& PickService();
-  /// @param aExcluded incarnations that are not to be asked again
-  /// @param aAssigned the engine that the prompt was given to, if any
+  /// @param aExcluded incarnations that must not be selected
+  /// @param aAssigned the engine assigned to the prompt, if any
   [[nodiscard]] Target PickTarget(const std::string& aService,
                                   const std::set<std::string>& aExcluded,
                                   const Assignment& aAssigned);
-  /// @brief Whether the request has a prompt that the service's engines read for long.
+  /// @brief Whether the request has a prompt that counts as long for the service's engines.
   [[nodiscard]] bool IsLongPrompt(const std::string& aService) const;
-  /// @param aRemaining until the answer is due
-  /// @param aResumeAfter the caller has a stream's events up to here
+  /// @param aRemaining time until the deadline
+  /// @param aResumeAfter id of the last stream event that the caller has received
   [[nodiscard]] EndpointCall BuildCall(const Target& aTarget,
                                        base::Duration aRemaining,
                                        std::optional<std::uint64_t> aResumeAfter);
 
 private:
-  /// What the endpoint goes by when it cannot run all its prompts at once.
+  /// The priority by which the endpoint orders prompts that it cannot run at once; 0 runs first.
   [[nodiscard]] std::uint32_t RankOf(const std::string& aService) const;
   [[nodiscard]] std::vector<cache::PlannedPart> PlannedParts() const;
   [[nodiscard]] cache::PartPlan PlanParts(std::span<const cache::PlannedPart> aParts,
--- a/include/ferrytray/relay/caller_request.hpp
+++ b/include/ferrytray/relay/caller_request.hpp
@@ -10,35 +10,35 @@
 
 namespace ferrytray::relay {
 
-/// @brief A piece of a prompt that requests may share.
+/// @brief A part of a prompt that several requests may share.
 struct PromptPart
 {
-  std::string m_id; ///< the same content has the same name
+  std::string m_id; ///< parts with equal content have equal ids
   std::uint32_t m_tokens = 0;
 };
 
-/// @brief What a request asks of a model.
+/// @brief A model request's prompt and its size in tokens.
 struct Prompt
 {
   std::string m_model;
   std::uint32_t m_inputTokens = 0;
   std::uint32_t m_maxOutputTokens = 0;
-  std::vector<PromptPart> m_parts; ///< in order; the last one is the request's own or its session's
+  std::vector<PromptPart> m_parts; ///< in order; the last one belongs to this request or session
 };
 
-/// @brief A caller's request, decoded. What is forwarded is kept as it came.
+/// @brief A decoded request of a caller. Forwarded fields are kept unchanged.
 struct CallerRequest
 {
-  std::string m_id; ///< the caller's own; each of its attempts has another
+  std::string m_id; ///< set by the caller; each send to an endpoint has its own
   std::string m_method;
   std::string m_target; ///< path and query
   std::string m_path;
   std::string m_hostName;
-  std::string m_apiKey;                     ///< of a client account; never forwarded
-  std::optional<base::Duration> m_deadline; ///< how long the caller waits from now
+  std::string m_apiKey;                     ///< identifies the client account; never forwarded
+  std::optional<base::Duration> m_deadline; ///< time that the caller waits from now on
   std::optional<Prompt> m_prompt;
-  std::optional<std::uint64_t> m_resumeAfter; ///< the caller has this stream's events up to here
-  net::Headers m_forwardedHeaders;            ///< end-to-end headers that are the caller's to set
+  std::optional<std::uint64_t> m_resumeAfter; ///< id of the last event that the caller received
+  net::Headers m_forwardedHeaders;            ///< end-to-end headers that callers may set
   std::string m_body;
 };
 
--- a/include/ferrytray/relay/candidates.hpp
+++ b/include/ferrytray/relay/candidates.hpp
@@ -12,25 +12,27 @@
 
 namespace ferrytray::relay {
 
-/// @brief What a prompt asks of an engine.
+/// @brief What an engine needs in order to run a prompt.
 struct PromptRequirements
 {
   std::string_view m_model;
   std::uint32_t m_tokens = 0; ///< of the whole prompt
 };
 
-/// @brief Endpoints that a request may go to, and what is known of each; of equal size.
+/// @brief Endpoints that a request may be sent to, and their state. Both vectors have equal size.
 struct Candidates
 {
   std::vector<const fleet::Endpoint*> m_endpoints;
   std::vector<routing::PlacementCandidate> m_placements;
 };
 
-/// @param aService null: nothing is declared of it
+/// @brief Finds the endpoints of a service that a request may be sent to.
+/// @param aService null: the configuration does not declare the service
 /// @param aRequirements empty for requests without a prompt
-/// @param aExcluded incarnations that are not to be asked again
-/// @param aCold by whose choice a cold endpoint would get the request
-/// @param aAssigned an incarnation that another host has chosen, cold or not; may be empty
+/// @param aExcluded incarnations that must not be selected
+/// @param aCold whether this host or the dispatcher selects a cold endpoint
+/// @param aAssigned incarnation assigned by the dispatcher, accepted even if it is cold; may be
+/// empty
 [[nodiscard]] Candidates FindCandidates(RelayCore& aCore,
                                         const std::string& aServiceName,
                                         const fleet::Service* aService,
--- a/include/ferrytray/relay/cold_engines.hpp
+++ b/include/ferrytray/relay/cold_engines.hpp
@@ -7,27 +7,27 @@
 
 namespace ferrytray::relay {
 
-/// @brief What a service's endpoints bear after a start; null if nothing is declared.
+/// @brief The load that a service's endpoints accept after a start; null if none is declared.
 [[nodiscard]] const fleet::ColdTraits* FindColdTraits(const RelayCore& aCore,
                                                       const std::string& aService);
 
-/// @brief Requests a second that all hosts together may send to a cold endpoint.
+/// @brief Requests per second that all hosts together may send to a cold endpoint.
 [[nodiscard]] double ColdRateLimit(const RelayCore& aCore, const fleet::ColdTraits& aTraits);
 
-/// @brief Whether a request may be sent there now as far as its being cold goes.
+/// @brief Whether the rate limit of cold endpoints permits a send to this one now.
 [[nodiscard]] bool MaySendToCold(const RelayCore& aCore,
                                  const fleet::Endpoint& aEndpoint,
                                  routing::ColdUse aUse,
                                  base::TimePoint aNow);
 
-/// @brief A request is sent there, or was given out to it.
+/// @brief Counts a request that is sent to the endpoint or assigned to it.
 void RecordColdSend(RelayCore& aCore,
                     const fleet::Endpoint& aEndpoint,
                     routing::ColdUse aUse,
                     base::TimePoint aNow);
 
-/// @brief The endpoint was not reached, or nothing was sent to it for long: it may start anew, and
-/// its own word of that comes late.
+/// @brief Treats the endpoint as cold because it was unreachable or received no requests for long:
+/// it may have restarted, and its own report of that arrives late.
 void SuspectColdStart(RelayCore& aCore, const fleet::Endpoint& aEndpoint, base::TimePoint aNow);
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/endpoint_call.hpp
+++ b/include/ferrytray/relay/endpoint_call.hpp
@@ -12,41 +12,42 @@
 
 namespace ferrytray::relay {
 
-/// @brief One send of a request to one endpoint.
+/// @brief One send of a request to an endpoint.
 struct EndpointCall
 {
   std::string m_address;    ///< IP:PORT
-  std::string m_endpointId; ///< any other one at that address refuses the request
+  std::string m_endpointId; ///< another endpoint at the same address refuses the request
   base::Duration m_remaining{};
-  std::string m_account; ///< the client account's name; empty if the route needs none
+  std::string m_account; ///< name of the client account; empty if the route needs none
   std::optional<std::uint64_t> m_resumeAfter;
-  std::optional<fleet::WeightVersion> m_weights; ///< an endpoint with others refuses the request
-  std::string m_cacheScope; ///< cached parts are found only under the same text
-  cache::PartPlan m_parts;  ///< where the prompt's parts come from and go to
-  /// Prompt tokens by what becomes of their part (cache::PartFate).
+  std::optional<fleet::WeightVersion> m_weights; ///< endpoints with another version refuse
+  std::string m_cacheScope; ///< cached parts are found only under an equal scope
+  cache::PartPlan m_parts;  ///< where the prompt's parts are read from and stored
+  /// Prompt tokens per cache::PartFate.
   std::array<std::uint64_t, cache::kPartFates> m_tokensByFate{};
-  base::Duration m_maxIdle{}; ///< of a connection that is reused
+  base::Duration m_maxIdle{}; ///< maximum idle time of a reused connection
   bool m_repeatable = false;
-  /// Of a prompt: 0 is run first when not all can run at once.
+  /// Priority of a prompt: 0 runs first when the endpoint cannot run all prompts at once.
   std::optional<std::uint32_t> m_rank;
 };
 
-/// @brief What the head of an endpoint's reply says.
+/// @brief The decoded head of an endpoint's reply.
 struct ReplyHead
 {
   int m_status = 0;
-  bool m_notRun = false;      ///< the endpoint states that it has not run the request
-  bool m_misdirected = false; ///< refused: not the endpoint or not the weights that were named
-  bool m_signed = false;      ///< bears the endpoint's signature
-  std::string m_requestId;    ///< of the request that it answers
-  std::string m_endpointId;   ///< of the endpoint that replied, if told
+  bool m_notRun = false;      ///< the endpoint reports that it has not executed the request
+  bool m_misdirected = false; ///< refused because the endpoint or its weight version is not the one
+                              ///< named in the request
+  bool m_signed = false;      ///< carries the endpoint's signature
+  std::string m_requestId;    ///< id of the request that the reply belongs to
+  std::string m_endpointId;   ///< id of the endpoint that replied, if reported
   std::optional<fleet::WeightVersion> m_weights;
-  std::optional<base::Duration> m_idleTimeout; ///< the endpoint closes idle connections after it
+  std::optional<base::Duration> m_idleTimeout; ///< after which the endpoint closes idle connections
   net::Headers m_forwardedHeaders;             ///< end-to-end headers
 
   [[nodiscard]] bool Succeeds() const { return m_status >= 200 && m_status < 300; }
-  /// @brief Whether its status would promise a caller that the request has not run. Only a host
-  /// knows that of all its sends, so such a status is never passed on as it is.
+  /// @brief Whether the status would tell a caller that the request was not executed. Only the host
+  /// knows this for all of its sends, so such a status is never forwarded unchanged.
   [[nodiscard]] bool ImpliesNotRun() const
   {
     return m_status == 408 || m_status == 421 || m_status == 429 || m_status == 503;
--- a/include/ferrytray/relay/event_splitter.hpp
+++ b/include/ferrytray/relay/event_splitter.hpp
@@ -7,25 +7,25 @@
 
 namespace ferrytray::relay {
 
-/// @brief Cuts a server-sent event stream into whole events.
+/// @brief Splits a server-sent event stream into complete events.
 class EventSplitter
 {
 public:
-  /// @brief What a call of Feed() completed.
+  /// @brief The events completed by a call of Feed().
   struct CompleteEvents
   {
-    std::string m_bytes; ///< whole events, as they came
+    std::string m_bytes; ///< complete events, unchanged
     std::optional<std::uint64_t> m_lastId;
   };
 
-  /// @param aSkipThrough events up to this id are left out (the caller has them)
+  /// @param aSkipThrough events with ids up to this one are dropped because the caller has them
   explicit EventSplitter(std::optional<std::uint64_t> aSkipThrough = {})
     : m_skipThrough(aSkipThrough)
   {
   }
 
   CompleteEvents Feed(std::string_view aBytes);
-  /// @brief What follows the last whole event.
+  /// @brief The bytes after the last complete event.
   [[nodiscard]] const std::string& Remainder() const { return m_buffer; }
 
 private:
--- a/include/ferrytray/relay/exchange.hpp
+++ b/include/ferrytray/relay/exchange.hpp
@@ -10,19 +10,20 @@
 
 #include "ferrytray/base/error.hpp"           // for Failure
 #include "ferrytray/net/http_server.hpp"      // for HttpReply
-#include "ferrytray/relay/attempt_policy.hpp" // for AttemptEnd
+#include "ferrytray/relay/attempt_policy.hpp" // for AttemptOutcome
 #include "ferrytray/relay/call_planner.hpp"   // for CallPlanner
 #include "ferrytray/relay/caller_request.hpp" // for CallerRequest
 #include "ferrytray/relay/endpoint_call.hpp"  // for EndpointCall, ReplyHead
 #include "ferrytray/relay/event_splitter.hpp" // for EventSplitter
 #include "ferrytray/relay/relay_core.hpp"     // for RelayCore
-#include "ferrytray/relay/route_match.hpp"    // for Admitted
+#include "ferrytray/relay/route_match.hpp"    // for RouteMatch
 
 namespace ferrytray::relay {
 
-/// @brief One caller's request from its arrival to its final answer.
+/// @brief Handles one caller's request from its arrival to its final reply.
 ///
-/// Its sends to endpoints come one after the other; each decision is AttemptPolicy's.
+/// Sends the request to one endpoint at a time. After an unsuccessful send, DecideNextStep()
+/// decides what follows.
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
@@ -37,16 +38,16 @@
   void Start();
 
 private:
-  /// The send that is under way.
+  /// The send in progress.
   struct Attempt
   {
-    std::string m_incarnation; ///< incarnation
-    std::string m_endpointId;  ///< what it calls itself
+    std::string m_incarnation; ///< of the endpoint
+    std::string m_endpointId;  ///< id that the endpoint reports
     net::CallId m_callId = 0;
     base::TimePoint m_sentAt;
     std::optional<fleet::WeightVersion> m_weights;
     std::optional<ReplyHead> m_head;
-    bool m_invalidReply = false; ///< the reply is not this request's
+    bool m_invalidReply = false; ///< the reply belongs to another request, or its body is too large
     std::string m_body;
     EventSplitter m_eventSplitter;
   };
@@ -68,24 +69,27 @@
   void OnDeadline();
   void OnCallerDisconnected();
   void Refuse(base::ErrorCode aCode, std::string aMessage);
-  /// The answer has not begun, and the prompt would wait for memory at all its homes.
+  /// Called before the reply starts, when the prompt would wait for memory at all its home
+  /// endpoints.
   void RefuseMemoryFull(routing::Work aLeastOpen);
   void FailUnknown(base::ErrorCode aCode, std::string aMessage);
   void SendFailure(const base::Failure& aFailure);
   void AbortReply(std::string_view aWhy);
   void Finish(std::string_view aOutcome, std::string_view aWhy = "");
   [[nodiscard]] base::Duration Remaining() const;
-  /// Tells the crash board what the send's end says of the request.
+  /// Records in the crash board that the endpoint broke off during the request, unless it is
+  /// leaving.
   void RecordCrash(const Attempt& aAttempt);
   void RecordSuccess();
-  /// Requests that are alike end the endpoints that run them: this one is not sent any more.
+  /// Answers without sending, because requests with the same key crashed the endpoints that ran
+  /// them.
   void RefuseQuarantined();
-  /// Before it is sent though it is kept away: chooses a service and leaves out its endpoints that
-  /// may be down, since it is sent once only. @return whether another one is left
+  /// Picks a service and excludes its endpoints that may be down, since a probe is sent only once.
+  /// @return whether a usable endpoint remains
   bool PrepareProbe();
-  /// Asks whether this one may be sent though requests that are alike are kept away.
+  /// Asks whether this host may send the quarantined request once as a probe.
   void ClaimProbe();
-  /// Looks for a place and sends.
+  /// Applies the admission limit, then sends, or first requests an engine for a long prompt.
   void Admit();
   [[nodiscard]] bool IsBlockedByQuarantine() const
   {
@@ -95,7 +99,7 @@
   RelayCore& m_core;
   CallerRequest m_request;
   RouteMatch m_routeMatch;
-  quarantine::RequestKey m_requestKey; ///< of all requests that are alike
+  quarantine::RequestKey m_requestKey; ///< equal for requests that count as identical
   CallPlanner m_planner;
   std::shared_ptr<net::HttpReply> m_reply;
   base::TimePoint m_arrivedAt;
@@ -103,21 +107,21 @@
   net::TimerHandle m_deadlineTimer;
   std::optional<Attempt> m_attempt;
   std::string m_service;
-  std::optional<std::uint64_t> m_admissionTicket; ///< its number at the service's limit
-  routing::Work m_work;                           ///< of one send
-  Assignment m_assigned;                          ///< of a long prompt
+  std::optional<std::uint64_t> m_admissionTicket; ///< from the service's admission limit
+  routing::Work m_work;                           ///< per send
+  Assignment m_assigned;                          ///< for a long prompt
   std::set<std::string> m_triedEndpoints;
   std::uint32_t m_sends = 0;
   std::uint32_t m_endpointsUsed = 0;
   bool m_mayHaveRun = false;
   bool m_replyStarted = false;
-  std::optional<std::uint64_t> m_lastEventId; ///< passed on to the caller
+  std::optional<std::uint64_t> m_lastEventId; ///< last event forwarded to the caller
   std::string m_lastEndpoint;
-  routing::Work m_lastOpenWork = 0; ///< for the log: what decided the last send
+  routing::Work m_lastOpenWork = 0; ///< of the last send, for the log
   bool m_lastAtHome = true;
   std::array<std::uint64_t, cache::kPartFates> m_lastTokensByFate{}; ///< by cache::PartFate
-  std::optional<base::TimePoint> m_firstEventAt;                     ///< the answer's first event
-  bool m_isProbe = false; ///< sent once, though requests that are alike are kept away
+  std::optional<base::TimePoint> m_firstEventAt; ///< when the reply's first event was forwarded
+  bool m_isProbe = false;                        ///< sent once although the request is quarantined
   bool m_done = false;
 };
 
--- a/include/ferrytray/relay/feed_options.hpp
+++ b/include/ferrytray/relay/feed_options.hpp
@@ -4,53 +4,53 @@
 
 namespace ferrytray::relay {
 
-/// @brief By when a host has to act on what it reads from the record log (settings).
+/// @brief Time limits within which a host must act on records of the record log (settings).
 struct PropagationBounds
 {
-  base::Duration m_configurationDue{}; ///< after a configuration was acknowledged
-  base::Duration m_evacuationDue{};    ///< after a zone's evacuation was
-  base::Duration m_revocationDue{};    ///< after an account's key was taken away
-  base::Duration m_quarantineDue{};    ///< after a third endpoint ended under one request
-  base::Duration m_drain{};            ///< a leaving endpoint may still get requests for so long
+  base::Duration m_configurationDue{}; ///< after the configuration was acknowledged
+  base::Duration m_evacuationDue{};    ///< after the zone's evacuation was acknowledged
+  base::Duration m_revocationDue{};    ///< after the account's key was revoked
+  base::Duration m_quarantineDue{};    ///< after the third endpoint crash of one request
+  base::Duration m_drain{};            ///< how long a leaving endpoint may still receive requests
 };
 
-/// @brief How the topics of the record log are followed.
+/// @brief How a host follows the topics of the record log.
 struct FeedOptions
 {
-  /// New configurations and weights wake a read that is held open for so long. A log may hold one
-  /// open and not answer it although a record is there, and nothing tells the host so: by its own
-  /// clock what it knows is as old as two waits at most, and the patience if one is not answered.
+  /// Long-poll time of reads of the operators' topic. The log may hold a read open and not answer
+  /// it although a record is there, without any sign of it at the host. By the host's own clock its
+  /// state is therefore up to two wait times old, plus the grace time if one read is not answered.
   base::Duration m_operatorWait = std::chrono::milliseconds(500);
-  /// For an answer beyond the wait.
+  /// Time allowed for an answer after the long-poll time.
   base::Duration m_operatorGrace = std::chrono::milliseconds(600);
-  /// What another host passes on of the operators' topic counts for so long after that host began
-  /// the read that was answered last.
+  /// Maximum age of operator records received from another host, measured from when that host began
+  /// its last answered read.
   base::Duration m_operatorPeerMaxAge = std::chrono::milliseconds(1700);
-  /// Between two reads of the directory; a part of the time that a leaving endpoint may still get
-  /// requests.
+  /// Pause between two reads of the directory; a fraction of the time for which a leaving endpoint
+  /// may still receive requests.
   base::Duration m_endpointPause = std::chrono::milliseconds(600);
-  /// The same while other hosts follow through this one.
+  /// The same while other hosts follow the directory through this one.
   base::Duration m_endpointServingPause = std::chrono::milliseconds(600);
-  /// What another host passes on of the directory counts for so long after the log answered that
-  /// host.
+  /// Maximum age of directory records received from another host, measured from the log's last
+  /// answer to that host.
   base::Duration m_endpointPeerMaxAge = std::chrono::milliseconds(1300);
-  /// New records of requests that end endpoints wake a read that is held open for so long. Hosts
-  /// tell each other what is in them, so a read that is never answered costs nothing, and each one
-  /// is charged.
+  /// Long-poll time of reads of the quarantine topic. Long because every read is charged; an
+  /// unanswered read does no harm, as hosts also send each other the contents.
   base::Duration m_quarantineWait = std::chrono::seconds(10);
-  /// A host that hears of no other one asks for them so often.
+  /// Interval at which a host that hears from no other host reads the quarantine topic.
   base::Duration m_quarantineIsolatedInterval = std::chrono::milliseconds(1500);
-  /// For an answer beyond that wait.
+  /// Time allowed for an answer after the quarantine long-poll time.
   base::Duration m_quarantineGrace = std::chrono::milliseconds(600);
-  /// What another host passes on of these counts for so long after the log answered that host.
+  /// Maximum age of quarantine records received from another host, measured from the log's last
+  /// answer to that host.
   base::Duration m_quarantinePeerMaxAge = std::chrono::seconds(12);
 };
 
-/// @brief The figures that keep these bounds.
+/// @brief Options that keep these bounds.
 [[nodiscard]] FeedOptions FeedOptionsFor(const PropagationBounds& aBounds);
 
-/// @brief Without news of the operators' topic for longer, a host may not know the configuration
-/// that is in force, and denies nothing by the one that it has.
+/// @brief Maximum age of the operators' records at which a host still denies requests. Beyond it,
+/// the configuration in force may be one that the host has not read.
 [[nodiscard]] base::Duration MaxDenialAge(const PropagationBounds& aBounds);
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/prompt_dispatcher.hpp
+++ b/include/ferrytray/relay/prompt_dispatcher.hpp
@@ -16,38 +16,40 @@
 
 struct DispatchOptions
 {
-  /// Engines that are chosen from together. Below so many in a zone all zones' engines are one
-  /// group: with few to choose from, prompts wait where others are idle.
+  /// Zones with fewer engines are not dispatched separately: if any zone has fewer, the engines of
+  /// all zones form one group. In a small group prompts wait while engines elsewhere are idle.
   std::size_t m_minEnginesPerZone = 16;
-  /// A host that did not answer is not asked for so long; meanwhile prompts go to their homes.
+  /// How long a host that did not answer is not asked again. Prompts go to their home engines
+  /// meanwhile.
   base::Duration m_hostBackoff = std::chrono::milliseconds(1000);
 };
 
-/// @brief Has one host give out the long prompts of a group of engines, so that each begins where
-/// it waits least.
+/// @brief Lets one host assign the long prompts of a group of engines, so that each starts where
+/// its wait is shortest.
 ///
-/// A long prompt is read for some hundred milliseconds. Hosts hear of each other's work 0.3 to
-/// 0.6 s late, so of hundreds of hosts each chooses as if it knew nothing. The host that gives
-/// prompts out is the first by rank of the engines' availability zone; each host computes it alike,
-/// without a vote or a lease: two that disagree only know less. When it does not answer at once, a
-/// prompt goes to its home as without it.
+/// An engine takes some hundred milliseconds to read a long prompt. Hosts learn of each other's
+/// load 0.3 to 0.6 s late, so with hundreds of hosts each would choose without knowing the others'
+/// choices. The dispatching host is the first by rank in the engines' availability zone. Every host
+/// computes the rank itself, without an election or a lease; hosts that disagree only make less
+/// informed choices. If the dispatching host does not answer in time, the prompt goes to its home
+/// engine.
 class PromptDispatcher
 {
 public:
   using Done = std::function<void(Assignment)>;
 
-  /// Keeps references to both. Answers other hosts from now on.
+  /// Keeps references to both. Registers the handler for assignment requests of other hosts.
   PromptDispatcher(RelayCore& aCore, peers::NewsExchange& aNews, DispatchOptions aOptions = {});
 
-  /// @brief Asks which engine a prompt goes to.
-  /// @param aDone called once, perhaps before this returns
+  /// @brief Requests the engine for a prompt.
+  /// @param aDone called once, possibly before this function returns
   void RequestEngine(const Prompt& aPrompt,
                      const fleet::ClientAccount* aAccount,
                      const std::string& aService,
                      Done aDone);
-  /// @brief Gives out a prompt.
+  /// @brief Assigns an engine to a prompt, as the dispatching host.
   peers::PlacementReply AssignEngine(const peers::PlacementRequest& aRequest);
-  /// @brief A prompt that found nothing waiting began.
+  /// @brief Reports how long a prompt that did not wait took until its first event.
   void OnFirstEvent(std::uint32_t aPrefillTokens, base::Duration aDuration);
 
 private:
@@ -55,7 +57,7 @@
   [[nodiscard]] std::vector<peers::EndpointTag> UnreachableEngines(const std::string& aService,
                                                                    base::TimePoint aNow) const;
   [[nodiscard]] std::string ZoneFor(const std::string& aKey, const std::string& aService) const;
-  /// Tokens of a prompt that no store holds.
+  /// Tokens of a prompt that no KV store holds.
   [[nodiscard]] std::uint32_t PrefillTokens(const Prompt& aPrompt,
                                             const fleet::ClientAccount* aAccount,
                                             base::TimePoint aNow) const;
@@ -72,7 +74,7 @@
   DispatchOptions m_options;
   routing::PrefillQueues m_queues;
   peers::UnreachableBoard m_unreachable;
-  std::optional<PrefillSample> m_prefillSample;                    ///< told with the next question
+  std::optional<PrefillSample> m_prefillSample;                    ///< sent with the next request
   std::unordered_map<std::string, base::TimePoint> m_backoffUntil; ///< by host
 };
 
--- a/include/ferrytray/relay/prompt_placement.hpp
+++ b/include/ferrytray/relay/prompt_placement.hpp
@@ -15,11 +15,12 @@
 struct PromptPlacementOptions
 {
   routing::PlacementOptions m_homes;
-  /// A part this long decides where a prompt runs; shorter ones are cheap to read again (tokens).
+  /// The first part with at least this many tokens determines a prompt's home; shorter parts are
+  /// cheap to recompute.
   std::uint32_t m_minHomePartTokens = 1000;
 };
 
-/// @brief Where prompts run and which cached parts they may find.
+/// @brief Selects the engine and the cache scope of prompts.
 class PromptPlacement
 {
 public:
@@ -28,13 +29,13 @@
   {
   }
 
-  /// @brief The text under which cached parts are found: none of another model, of other weights,
-  /// or of another account if one of the two is isolated, ever has the same.
+  /// @brief The scope under which cached parts are stored. Scopes differ between models, between
+  /// weight versions, and between two accounts of which at least one is isolated.
   [[nodiscard]] static std::string CacheScope(const std::string& aModel,
                                               fleet::WeightVersion aVersion,
                                               const fleet::ClientAccount* aAccount);
 
-  /// @brief What decides a prompt's home.
+  /// @brief The key that determines a prompt's home engines.
   [[nodiscard]] std::string HomeKey(const Prompt& aPrompt,
                                     const fleet::ClientAccount* aAccount) const;
 
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -13,8 +13,8 @@
 
 namespace ferrytray::relay {
 
-/// @brief Keeps the requests that end endpoints in a keyed topic of the record log, so that hosts
-/// that start anew, were away, or were all killed at once know them, and takes them from there.
+/// @brief Synchronizes the crash board with a keyed topic of the record log, so that hosts know the
+/// quarantined requests after a start, a lost connection or a crash of all hosts.
 class QuarantineFeed
 {
 public:
@@ -25,18 +25,18 @@
   void Start();
   void Stop();
 
-  /// @brief Followed once it is started.
+  /// @brief The topic's follower; the caller starts it.
   [[nodiscard]] const std::shared_ptr<store::TopicFollower>& Topic() const { return m_topic; }
-  /// @brief This host saw an end of the request, or a whole answer to it.
+  /// @brief This host saw an endpoint crash during the request, or a complete reply to it.
   void OnLocalChange(const quarantine::RequestKey& aRequest);
-  /// @brief This host hears of no other one: the record log is asked at once.
+  /// @brief This host hears from no other host: reads the record log at once.
   void OnIsolated() { m_topic->Renew(); }
   /// @brief The crash board has changed.
   void OnBoardChanged();
-  /// @brief Records that the request is sent once more though it is kept away.
-  /// @param aDone called once; whether this host may send it
+  /// @brief Records that the quarantined request is sent once as a probe.
+  /// @param aDone called once, with whether this host may send it
   void ClaimProbe(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
-  /// @brief Who records what other hosts saw.
+  /// @brief Sets the function that decides which hosts record what other hosts saw.
   void SetRankFunction(std::function<quarantine::WriterRank(const quarantine::RequestKey&)> aCall)
   {
     m_rankOf = std::move(aCall);
@@ -55,8 +55,7 @@
   std::function<quarantine::WriterRank(const quarantine::RequestKey&)> m_rankOf;
   std::shared_ptr<store::TopicFollower> m_topic;
   std::set<quarantine::RequestKey> m_pendingClaims;
-  std::set<quarantine::RequestKey>
-    m_loggedRequests; ///< the requests that were last told to be kept away
+  std::set<quarantine::RequestKey> m_loggedRequests; ///< quarantined requests as last logged
   bool m_stopped = false;
   net::TimerHandle m_recordTimer;
 };
--- a/include/ferrytray/relay/record_format.hpp
+++ b/include/ferrytray/relay/record_format.hpp
@@ -10,24 +10,23 @@
 
 namespace ferrytray::relay {
 
-/// @brief Weights that the operators want a model to run on.
+/// @brief The weight version that the operators want a model to run.
 struct NamedWeights
 {
   std::string m_model;
   fleet::WeightVersion m_version = 0;
 };
 
-/// @brief The names that the operators and endpoints use in the record log. Translates only.
+/// @brief Decodes the records that operators and endpoints write to the record log.
 class RecordFormat
 {
 public:
   virtual ~RecordFormat() = default;
   [[nodiscard]] virtual std::string OperatorTopic() const = 0;
   [[nodiscard]] virtual std::string EndpointTopic() const = 0;
-  /// @brief A keyed topic of the product's own, in which hosts find each other.
+  /// @brief The keyed topic, private to the hosts, in which they discover each other.
   [[nodiscard]] virtual std::string HostTopic() const = 0;
-  /// @brief A keyed topic of the product's own, in which hosts keep the requests that end
-  /// endpoints.
+  /// @brief The keyed topic, private to the hosts, in which they store the quarantined requests.
   [[nodiscard]] virtual std::string QuarantineTopic() const = 0;
   [[nodiscard]] virtual bool IsConfiguration(std::string_view aKey) const = 0;
   [[nodiscard]] virtual bool IsNamedWeights(std::string_view aKey) const = 0;
@@ -35,7 +34,7 @@
     std::string_view aValue) const = 0;
   [[nodiscard]] virtual base::Result<NamedWeights> ReadNamedWeights(
     std::string_view aValue) const = 0;
-  /// @brief The availability zone that a record of this key evacuates; empty: it is no such record.
+  /// @brief The availability zone that a record with this key evacuates; empty for other records.
   [[nodiscard]] virtual std::optional<std::string> EvacuatedZone(std::string_view aKey) const = 0;
   /// @param aKey the endpoint's id
   [[nodiscard]] virtual base::Result<fleet::Endpoint> ReadEndpoint(
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -38,40 +38,40 @@
   std::string m_zone; ///< this host's availability zone
   AttemptLimits m_attempts;
   limits::RetryWindowOptions m_retries;
-  /// Without news of the operators' topic for longer, a configuration that this host does not know
-  /// of may be in force: what looks unknown is then refused with 503, not 401 or 404. Other topics'
-  /// reads say nothing of it.
+  /// Maximum age of the operators' records at which this host still answers 401 or 404. Beyond it,
+  /// a newer configuration may be in force, so the answer is 503. Reads of other topics do not
+  /// count.
   base::Duration m_maxDenialAge = std::chrono::milliseconds(1800);
-  /// A new connection within a region takes about a millisecond; a lost opening packet is sent
-  /// again only after a second, so another endpoint is the better choice long before. 400 ms cost
-  /// 1 in 1,000 requests more in failures and as many in late answers while a zone was cut off.
+  /// A new connection within a region takes about a millisecond, and a lost SYN is sent again only
+  /// after a second, so it is better to try another endpoint much earlier. With 400 ms and a zone
+  /// cut off, failures and late answers each rose by 1 in 1,000 requests.
   base::Duration m_connectTimeout = std::chrono::milliseconds(200);
-  /// An endpoint that acknowledges nothing for so long is cut off or gone.
+  /// An endpoint that acknowledges nothing for this long is cut off or gone.
   base::Duration m_peerTimeout = std::chrono::milliseconds(1500);
-  /// One host's part of an endpoint's connections: this many hosts can share it.
+  /// Number of hosts that share an endpoint's connection limit equally.
   std::uint32_t m_hostsSharing = 10;
-  /// Requests begin on no older weights from so long after newer ones were named (settings, less
-  /// the time for which a request may wait at an engine and that in which a host hears of the
-  /// name).
+  /// How long after a new weight version was named requests may still start on an older one. This
+  /// is the setting less the time that a request may wait at an engine and the time until a host
+  /// reads the record.
   base::Duration m_weightsDue = std::chrono::milliseconds(10500);
-  /// When a caller whose request was not run should come back.
+  /// Retry-After of requests that were not executed.
   base::Duration m_retryAfterDelay = std::chrono::milliseconds(250);
-  /// The same for a request that ends the endpoints that run it: asking again soon is of no use.
+  /// Retry-After of quarantined requests; an early retry would be refused again.
   base::Duration m_quarantineRetryAfterDelay = std::chrono::seconds(60);
-  /// Fetches of a prompt's parts end within this part of its route's target. What is left is for
-  /// reading the prompt instead, so that a store whose link is slow or crowded makes an answer
-  /// later, but seldom late: of the short prompts of calm days with one store slowed to a quarter,
-  /// 1.4 in 100 were late instead of 5 with a bound of 2 s.
+  /// Fraction of the route's target latency in which fetches of a prompt's parts must end; the rest
+  /// is left for recomputing the parts. A slow or congested store thus delays replies but seldom
+  /// beyond the target: with one store slowed to a quarter on calm days, 1.4 in 100 short prompts
+  /// were late, and 5 in 100 with a fixed bound of 2 s.
   double m_fetchShare = 0.58;
-  /// What all hosts together may send to a cold endpoint in a second: this many times what it
-  /// bears, and so many more (settings).
+  /// All hosts together may send a cold endpoint m_coldOvershoot times its declared rate plus
+  /// m_coldSlack requests per second (settings).
   double m_coldOvershoot = 1;
   double m_coldSlack = 0;
-  /// A plain answer over this size breaks off (bytes).
+  /// A longer reply that is not streamed counts as broken (bytes).
   std::size_t m_maxReplyBytes = 16U << 20U;
 };
 
-/// @brief What all exchanges of a host share.
+/// @brief State shared by all exchanges of a host.
 struct RelayCore
 {
   RelayCore(net::Loop& aLoop,
@@ -95,46 +95,48 @@
   fleet::Directory m_directory;
   routing::EndpointBoard m_endpointBoard;
   routing::ColdStarts m_coldStarts;
-  /// Whether this host is among the first so many hosts by a hash of that name; false while the
-  /// other hosts are unknown. Unset: never.
+  /// Whether this host is among the first aFirst hosts by a hash of aName; false while the other
+  /// hosts are unknown. If unset: false.
   std::function<bool(const std::string& aName, std::size_t aFirst)> m_isAmongFirstHosts;
-  /// Another endpoint answered at that incarnation's address. Unset: nobody is told.
+  /// Called when another endpoint answered at the incarnation's address. May be unset.
   std::function<void(const std::string& aIncarnation)> m_onEndpointReplaced;
-  quarantine::CrashBoard m_crashes; ///< requests that end the endpoints that run them
-  /// What the record log has of those is known here. Until then nothing is sent to endpoints: hosts
-  /// that start anew, one after the other or all at once, would each try such requests again.
+  quarantine::CrashBoard m_crashes; ///< requests that crash the endpoints that run them
+  /// Whether the crash board holds the record log's contents. Nothing is sent to endpoints before
+  /// that: hosts that restart one after the other, or all at once, would each try such requests
+  /// again.
   bool m_crashesLoaded = false;
-  /// This host added to the crash board. Unset: nobody is told.
+  /// Called when this host changed the crash board. May be unset.
   std::function<void(const quarantine::RequestKey&)> m_onCrashesChanged;
-  /// Whether this host may send a request once more that is kept away; answers once. Unset: never.
+  /// Asks whether this host may send a quarantined request as a probe; the callback is called once.
+  /// If unset: no probes.
   std::function<void(const quarantine::RequestKey&, std::function<void(bool)>)> m_claimProbe;
-  peers::LoadBoard m_peerLoads; ///< other hosts' requests
-  peers::ReloadBoard m_reloads; ///< engines that load weights
+  peers::LoadBoard m_peerLoads; ///< load of the other hosts
+  peers::ReloadBoard m_reloads; ///< engines that are loading weights
   limits::RetryWindow m_retryWindow;
   std::map<std::string, limits::AdmissionLimit> m_admissionLimits; ///< by service
   PromptPlacement m_promptPlacement;
-  PromptDispatcher* m_dispatcher = nullptr; ///< null: each host chooses engines by itself
+  PromptDispatcher* m_dispatcher = nullptr; ///< null: this host chooses engines itself
   cache::Stores m_stores;
   cache::PartPlanner m_partPlanner;
   telemetry::Metrics m_metrics;
   store::UnreadableRecords m_unreadable{ &m_metrics };
   std::mt19937_64 m_random{ std::random_device{}() };
-  std::map<std::string, fleet::WeightVersion> m_desiredWeights; ///< newest named weights, by model
-  fleet::NamedWeightsLog m_namedWeights;                        ///< when those were named
+  std::map<std::string, fleet::WeightVersion> m_desiredWeights; ///< newest named version, by model
+  fleet::NamedWeightsLog m_namedWeights;                        ///< when versions were named
   std::optional<base::TimePoint> m_lastContact;                 ///< with the record log
-  /// Whatever operators had said by then is known here: the read of their topic that last ended was
-  /// begun then, by this host or by the one that passes its records on.
+  /// All operator records written before this time are known: the last completed read of the topic
+  /// began then, at this host or at the host that forwards the records.
   std::optional<base::TimePoint> m_operatorsReadAt;
-  std::size_t m_openExchanges = 0;   ///< exchanges that have not ended
-  bool m_stopping = false;           ///< a planned stop has begun
-  bool m_refusesNewRequests = false; ///< the stop is near: new requests are refused
+  std::size_t m_openExchanges = 0;   ///< exchanges that have not finished
+  bool m_stopping = false;           ///< a planned shutdown has begun
+  bool m_refusesNewRequests = false; ///< late phase of the shutdown: new requests are refused
 
-  /// @brief How old what operators said may be here (ms); -1: nothing has been read yet.
+  /// @brief Maximum age of the operators' records known here (ms); -1: none have been read yet.
   [[nodiscard]] long OperatorsAgeMillis(base::TimePoint aNow) const
   {
     return m_operatorsReadAt ? base::ToMillis(aNow - *m_operatorsReadAt) : -1;
   }
-  /// @brief Whether a configuration that this host has not read may be in force.
+  /// @brief Whether a newer configuration that this host has not read may be in force.
   [[nodiscard]] bool MayBeStale(base::TimePoint aNow) const
   {
     return base::MayBeBehind(m_operatorsReadAt, m_options.m_maxDenialAge, aNow);
--- a/include/ferrytray/relay/relay_front.hpp
+++ b/include/ferrytray/relay/relay_front.hpp
@@ -5,11 +5,11 @@
 #include "ferrytray/base/error.hpp"        // for Result
 #include "ferrytray/net/http_server.hpp"   // for HttpRequest, HttpReply
 #include "ferrytray/relay/relay_core.hpp"  // for RelayCore
-#include "ferrytray/relay/route_match.hpp" // for Admitted
+#include "ferrytray/relay/route_match.hpp" // for RouteMatch
 
 namespace ferrytray::relay {
 
-/// @brief Takes callers' requests: finds route and account, then starts an exchange.
+/// @brief Accepts callers' requests: matches route and account, then starts an exchange.
 class RelayFront
 {
 public:
@@ -21,7 +21,7 @@
   void Handle(net::HttpRequest aRequest, std::shared_ptr<net::HttpReply> aReply);
 
 private:
-  /// Whether the request is within what the configuration in force allows callers to send.
+  /// Checks the request against the size limits of the configuration in force.
   [[nodiscard]] base::Result<void> CheckLimits(const net::HttpRequest& aRequest) const;
   [[nodiscard]] base::Result<RouteMatch> MatchRoute(const CallerRequest& aRequest) const;
   void Refuse(const std::string& aRequestId,
--- a/include/ferrytray/relay/relay_host.hpp
+++ b/include/ferrytray/relay/relay_host.hpp
@@ -27,18 +27,19 @@
   RelayOptions m_relay;
   FeedOptions m_feeds;
   rollout::RolloutOptions m_rollout;
-  /// A balancer that asks once a second and needs two misses sends callers for so long.
+  /// A load balancer with one health check per second and a threshold of two failures keeps sending
+  /// for this long.
   base::Duration m_minDrainTime = std::chrono::milliseconds(3000);
-  /// From then on nothing new is begun: what still arrives is refused at once, and connections on
-  /// which nothing is being answered are closed, so that what was begun can end in time.
-  /// Later than a balancer takes to notice, and no later than the 3 s after which the users'
-  /// platform takes no excuse for a request that a stopping host began and did not finish.
+  /// From then on new requests are refused at once and idle connections are closed, so that
+  /// requests in progress can finish. Must be later than a load balancer takes to notice, and no
+  /// later than 3 s: from then on the users' platform counts every request that a stopping host
+  /// begins and does not finish as a failure.
   base::Duration m_refuseNewAfter = std::chrono::milliseconds(2900);
-  /// What is not finished then is broken off, before the platform kills the process.
+  /// Requests still open then are aborted, before the platform kills the process.
   base::Duration m_maxDrainTime = std::chrono::milliseconds(7500);
 };
 
-/// @brief The outside of a host: what its decisions are carried out on.
+/// @brief The external interfaces that a host uses.
 struct HostPorts
 {
   net::HttpClient& m_client;
@@ -50,14 +51,14 @@
   PartFreer& m_freer;
 };
 
-/// @brief One host of the system in one process: serves callers, follows state, gives orders.
+/// @brief A host in one process: serves callers, follows the record log and drives weight rollouts.
 class RelayHost
 {
 public:
   RelayHost(net::Loop& aLoop, const HostPorts& aPorts, HostOptions aOptions);
-  /// @brief Listens and begins. @return ListenFailed
+  /// @brief Opens the listening sockets and starts all components. @return ListenFailed
   base::Result<void> Start();
-  /// @brief Begins a planned stop; aDone is called when the process may end.
+  /// @brief Begins a planned shutdown; aDone is called when the process may exit.
   void Shutdown(std::function<void()> aDone);
   [[nodiscard]] net::Address CallerAddress() const { return m_callers->ListenAddress(); }
   [[nodiscard]] net::Address ReadinessAddress() const { return m_readiness->ListenAddress(); }
@@ -65,16 +66,17 @@
 private:
   base::Result<void> Listen();
   void OnEndpointReplaced(peers::IncarnationKey aKey);
-  /// Sets the gauges of what is still open in zones that are being evacuated.
+  /// Sets the gauges of open requests in zones that are being evacuated.
   void UpdateEvacuationGauges();
   [[nodiscard]] peers::EndpointLoads LocalLoads() const;
   void OnReloadPlanned(const rollout::PlannedReload& aReload);
   void AnswerReadiness(const std::shared_ptr<net::HttpReply>& aReply) const;
   void CheckShutdown();
   void StartQuarantine();
-  /// The record log answers for the configuration and not for the quarantine.
+  /// Called when the record log has returned the configuration but not the quarantine records in
+  /// time.
   void ServeWithoutQuarantine();
-  /// Tells other hosts soon of what the crash board has got here.
+  /// Schedules a notice to other hosts about this host's changes to the crash board.
   void OnCrashesChanged(const quarantine::RequestKey& aRequest);
 
   net::Loop& m_loop;
@@ -93,7 +95,7 @@
   std::unique_ptr<net::HttpServer> m_readiness;
   std::unique_ptr<net::HttpServer> m_metrics;
   net::TimerHandle m_shutdownTimer;
-  bool m_reloadNoticePending = false; ///< soon
+  bool m_reloadNoticePending = false; ///< a notice is posted but not sent
   net::TimerHandle m_crashNoticeTimer;
   net::TimerHandle m_isolationTimer;
   net::TimerHandle m_quarantineLoadTimer;
--- a/include/ferrytray/relay/route_match.hpp
+++ b/include/ferrytray/relay/route_match.hpp
@@ -4,10 +4,10 @@
 
 namespace ferrytray::relay {
 
-/// @brief What the configuration says of a request.
+/// @brief The configuration's route and client account for a request.
 struct RouteMatch
 {
-  fleet::ConfigurationPtr m_configuration; ///< keeps the next two alive
+  fleet::ConfigurationPtr m_configuration; ///< owns the route and the account
   const fleet::Route* m_route = nullptr;
   const fleet::ClientAccount* m_account = nullptr; ///< null on routes that need none
 };
--- a/include/ferrytray/relay/state_feeds.hpp
+++ b/include/ferrytray/relay/state_feeds.hpp
@@ -15,7 +15,8 @@
 
 namespace ferrytray::relay {
 
-/// @brief Keeps a host's configuration, directory and named weights as the record log has them.
+/// @brief Keeps a host's configuration, endpoint directory and named weights in sync with the
+/// record log.
 class StateFeeds
 {
 public:
@@ -25,14 +26,14 @@
              const FeedOptions& aOptions);
   void Stop();
 
-  /// @brief The topics that are followed, once they are started.
+  /// @brief The followers of both topics; the caller starts them.
   [[nodiscard]] std::vector<std::shared_ptr<store::TopicFollower>> Topics() const
   {
     return { m_operators, m_endpoints };
   }
-  /// @brief Calls after each configuration that came into force.
+  /// @brief Sets a function that is called after each new configuration is in force.
   void OnConfigured(std::function<void()> aCall) { m_onConfigured = std::move(aCall); }
-  /// @brief Whether both topics have been read once.
+  /// @brief Whether both topics have been read at least once.
   [[nodiscard]] bool Loaded() const { return m_endpointsLoaded && m_core.m_configuration; }
 
 private:
@@ -41,16 +42,17 @@
   void OnNamedWeights(const store::Record& aRecord);
   void OnEvacuation(const std::string& aZone, const store::Record& aRecord);
   void SetEvacuated(const std::string& aZone, bool aEvacuated);
-  /// The operators' whole topic was read: evacuations that are not in it are over.
+  /// Called after a full read of the operators' topic: evacuations that are not in it have ended.
   void OnOperatorSnapshot(const std::set<std::string>& aKeys);
-  /// @return whether it told something new
+  /// @return whether the record differs from the previous one of its key
   bool OnEndpointRecord(const store::Record& aRecord);
-  /// It would take the place of a known endpoint and names a service that nobody declared. Of an id
-  /// that is not known yet it is kept: the configuration that declares the service may come later.
+  /// Whether the record would replace a known endpoint but names an undeclared service. Records of
+  /// unknown endpoint ids are accepted, as the configuration that declares the service may arrive
+  /// later.
   [[nodiscard]] bool ConflictsWithKnownEndpoint(const fleet::Endpoint& aEndpoint) const;
-  /// Whether a record says anything else than the one before it of its key.
+  /// Stores the key's newest record. @return whether it differs from the previous one
   bool UpdateLastRecord(const std::string& aKey, const fleet::Endpoint& aEndpoint);
-  /// What this host learnt from its own requests goes with the incarnation.
+  /// Drops what this host learned about the incarnation from its own requests.
   void ForgetEndpoint(const std::string& aIncarnation);
   store::FollowEvents MakeFollowEvents(const std::string& aTopic);
 
@@ -59,8 +61,7 @@
   std::shared_ptr<store::TopicFollower> m_operators;
   std::shared_ptr<store::TopicFollower> m_endpoints;
   std::function<void()> m_onConfigured;
-  std::unordered_map<std::string, fleet::Endpoint>
-    m_lastRecords; ///< by key: its last readable record
+  std::unordered_map<std::string, fleet::Endpoint> m_lastRecords; ///< by key; readable records only
   bool m_operatorsLoaded = false;
   bool m_endpointsLoaded = false;
 };
--- a/include/ferrytray/relay/store_watch.hpp
+++ b/include/ferrytray/relay/store_watch.hpp
@@ -9,8 +9,8 @@
 
 namespace ferrytray::relay {
 
-/// @brief Keeps the KV stores that the configuration in force names, and follows them if this host
-/// is to read from them itself.
+/// @brief Tracks the KV stores named in the configuration in force. Follows their contents if this
+/// host is one of the readers.
 class StoreWatch
 {
 public:
@@ -20,9 +20,9 @@
   {
   }
 
-  /// @brief A configuration came into force.
+  /// @brief Updates the list of stores from the configuration that came into force.
   void OnConfiguration();
-  /// @brief Whether this host reads from the stores itself.
+  /// @brief Sets whether this host reads from the stores itself.
   void SetReader(bool aIsReader);
   void Stop();
 
--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -9,7 +9,7 @@
 
 namespace ferrytray::relay {
 
-/// @brief How parts are freed at a store.
+/// @brief Frees parts at a KV store.
 class PartFreer
 {
 public:
@@ -17,7 +17,7 @@
   virtual void Free(const cache::FreeParts& aParts, std::function<void(bool aDone)> aDone) = 0;
 };
 
-/// @brief Frees stored parts that nobody will ask for again; one host at a time.
+/// @brief Frees stored parts that no engine can use any more. Runs on one host at a time.
 class UpkeepDuty final : public rollout::LeasedDuty
 {
 public:
--- a/include/ferrytray/relay/wire_format.hpp
+++ b/include/ferrytray/relay/wire_format.hpp
@@ -8,7 +8,7 @@
 
 namespace ferrytray::relay {
 
-/// @brief An answer that the system gives itself.
+/// @brief A reply that the host generates itself.
 struct GeneratedReply
 {
   int m_status = 503;
@@ -16,18 +16,18 @@
   std::string m_body;
 };
 
-/// @brief The names that callers and endpoints use on the wire. Translates, decides nothing.
+/// @brief Encodes and decodes the messages exchanged with callers and endpoints.
 class WireFormat
 {
 public:
   virtual ~WireFormat() = default;
-  /// @brief Reads a caller's request. @return InvalidField or MissingField when it is improper
+  /// @brief Decodes a caller's request. @return InvalidField or MissingField if it is malformed
   [[nodiscard]] virtual base::Result<CallerRequest> ReadRequest(
     net::HttpRequest aRequest) const = 0;
   [[nodiscard]] virtual net::ClientRequest WriteCall(const CallerRequest& aRequest,
                                                      const EndpointCall& aCall) const = 0;
   [[nodiscard]] virtual ReplyHead ReadHead(int aStatus, const net::Headers& aHeaders) const = 0;
-  /// @brief A refusal or failure of the system's own.
+  /// @brief Encodes an error reply that the host generates itself.
   [[nodiscard]] virtual GeneratedReply WriteFailure(const std::string& aRequestId,
                                                     const base::Failure& aFailure) const = 0;
 };
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -2,7 +2,7 @@
 
 #include <vector> // for vector
 
-#include "ferrytray/relay/candidates.hpp"      // for CandidatesFor
+#include "ferrytray/relay/candidates.hpp"      // for FindCandidates
 #include "ferrytray/routing/engine_memory.hpp" // for SizeOf
 
 namespace ferrytray::relay {
@@ -81,8 +81,8 @@
   const std::uint32_t priority = account != nullptr && account->m_priority
                                    ? *account->m_priority
                                    : m_routeMatch.m_route->m_priority;
-  // Of equal priority, short prompts go first: they cost the long ones tens of milliseconds, the
-  // other way round it would be seconds.
+  // Short prompts go before long ones of equal priority: they delay the long ones by tens of
+  // milliseconds, whereas long prompts would delay them by seconds.
   return 2 * priority + (IsLongPrompt(aService) ? 1 : 0);
 }
 
@@ -111,7 +111,8 @@
       call.m_parts = PlanParts(parts, call.m_cacheScope, aTarget.m_partSource);
       call.m_tokensByFate = call.m_parts.Tokens(parts);
     } else {
-      // Nobody else finds what was made on weights that this host does not know.
+      // The weight version is unknown, so the scope is unique to the request and its parts are not
+      // shared.
       call.m_cacheScope = "request." + m_request.m_id;
     }
   }
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -3,20 +3,20 @@
 #include <algorithm> // for max
 
 #include "ferrytray/peers/replaced_board.hpp"  // for KeyOf
-#include "ferrytray/relay/cold_engines.hpp"    // for MaySendCold
+#include "ferrytray/relay/cold_engines.hpp"    // for MaySendToCold
 #include "ferrytray/routing/engine_memory.hpp" // for HasRoom, SizeOf
 
 namespace ferrytray::relay {
 
 namespace {
 
-/// It broke off requests, here or at another host.
+/// Whether this or another host saw the endpoint break off requests recently.
 bool HasCrashed(const RelayCore& aCore, const std::string& aIncarnation, base::TimePoint aNow)
 {
   return aCore.m_crashes.AnyEnded() && aCore.m_crashes.IsDown(peers::KeyOf(aIncarnation), aNow);
 }
 
-/// Engines whose announced reload is over are taken to have their new weights.
+/// Records the new weights of engines whose announced reload should have finished by now.
 void ApplyCompletedReloads(RelayCore& aCore, base::TimePoint aNow)
 {
   for (const peers::ReloadedWeights& ended : aCore.m_reloads.TakeEnded(aNow)) {
@@ -29,7 +29,7 @@
   }
 }
 
-/// Its weights should have been replaced by now.
+/// Whether the deadline for replacing the endpoint's weights has passed.
 bool HasOutdatedWeights(const RelayCore& aCore,
                         const fleet::Endpoint& aEndpoint,
                         const PromptRequirements& aRequirements,
@@ -41,7 +41,7 @@
          weights->second < aCore.m_namedWeights.Oldest(model, aNow);
 }
 
-/// A prompt would wait for memory behind this much open work.
+/// Whether a prompt would wait for memory at an engine with this much open work.
 bool LacksMemory(const fleet::Service* aService,
                  const PromptRequirements& aRequirements,
                  routing::Work aOpen)
--- a/src/ferrytray/relay/cold_engines.cpp
+++ b/src/ferrytray/relay/cold_engines.cpp
@@ -14,7 +14,7 @@
 double ColdRateLimit(const RelayCore& aCore, const fleet::ColdTraits& aTraits)
 {
   const RelayOptions& options = aCore.m_options;
-  // A bound under what the endpoint itself bears goes first.
+  // The operators' bound applies if it is below the endpoint's declared rate.
   return std::min(aTraits.m_perSecond,
                   aTraits.m_perSecond * options.m_coldOvershoot + options.m_coldSlack);
 }
--- a/src/ferrytray/relay/cold_engines_test.cpp
+++ b/src/ferrytray/relay/cold_engines_test.cpp
@@ -19,16 +19,16 @@
 
 const base::TimePoint kNow = base::TimePoint(base::Duration(1'000'000));
 
-// An engine of the users' shifted deployment: 14 requests a second while it is cold, 3 s after its
-// start. All hosts together may send 1.5 times that and 5 more in any second.
+// Engines of the users' shifted deployment accept 14 requests per second for 3 s after a start. All
+// hosts together may send 1.5 times that rate and 5 more in any second.
 constexpr double kColdPerSecond = 14;
 constexpr std::size_t kMaxPerSecond = 26;
 constexpr base::Duration kColdFor = 3s;
-// What all hosts together send to an engine that is warm: 1,225 prompts a second at 112 engines.
+// Requests per second to a warm engine from all hosts: 1,225 prompts per second at 112 engines.
 constexpr double kWarmPerSecond = 11;
 
-/// One schedule: an engine starts anew under its id; hosts hear of that late, some not at all, some
-/// have just started themselves and know no other host.
+/// Simulates the restart of an engine under the same id. Hosts are notified late or not at all, and
+/// some have just started and know no other host.
 class ColdEngineModel
 {
 public:
@@ -38,7 +38,7 @@
     for (std::size_t self = 0; self < aHosts; ++self) {
       m_hosts.emplace_back(peers::Roster(PeerOf(self)), Uniform(0, 2.5));
       for (std::size_t other = 0; other < aHosts; ++other) {
-        // A host that started early may not know all the others.
+        // A host that started early may not know all other hosts.
         if (Uniform(0, 1) < 0.95) {
           m_hosts.back().m_roster.Learn(PeerOf(other));
         }
@@ -49,7 +49,8 @@
     }
   }
 
-  /// @return the most requests in any second until all that can hear has been warm again
+  /// @return the maximum number of requests in any second until every host that was notified
+  /// regards the engine as warm
   std::size_t Simulate()
   {
     constexpr base::Duration kStep = 5ms;
@@ -57,7 +58,7 @@
       for (Host& host : m_hosts) {
         Step(host, at);
       }
-      // Two hosts that both think they give out the long prompts, each pressing.
+      // Two hosts that both act as the dispatcher, each sending at its limit.
       for (ColdStarts& dispatcher : m_dispatchers) {
         if (at == base::Duration::zero()) {
           dispatcher.OnTold("e", kColdFor + 10s, false, kNow);
@@ -158,9 +159,9 @@
 }
 ;
 
-// Hosts press as hard as they may, on news up to 2.5 s old; a fifth of them hears nothing. Hosts
-// that have not heard send evenly what is usual: drawn at random, that alone is over the bound in 1
-// of 1,000 schedules.
+// Hosts send as often as their limit permits, on notifications up to 2.5 s old; a fifth of the
+// hosts is never notified. Hosts without a notification send at evenly spaced times at the warm
+// rate: with random times that traffic alone exceeds the bound in 1 of 1,000 schedules.
 TEST(ColdEngines, IndependentHostsStayWithinGlobalColdBound)
 {
   std::size_t most = 0;
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -3,7 +3,7 @@
 #include <algorithm> // for max, min
 #include <utility>   // for move
 
-#include "ferrytray/relay/cold_engines.hpp"      // for NoteColdSend, SuspectColdStart
+#include "ferrytray/relay/cold_engines.hpp"      // for RecordColdSend, SuspectColdStart
 #include "ferrytray/relay/prompt_dispatcher.hpp" // for PromptDispatcher
 #include "ferrytray/telemetry/log_line.hpp"      // for LogLine
 
@@ -51,7 +51,7 @@
       self->OnDeadline();
     }
   });
-  // The reply holds the exchange until it is answered.
+  // The reply's callback keeps the exchange alive until the reply is complete.
   m_reply->OnClosed([self = shared_from_this()] { self->OnCallerDisconnected(); });
   if (!IsBlockedByQuarantine()) {
     Admit();
@@ -59,7 +59,7 @@
              PrepareProbe()) {
     ClaimProbe();
   } else {
-    RefuseQuarantined(); // before it takes a place
+    RefuseQuarantined(); // without using an admission slot
   }
 }
 
@@ -97,7 +97,7 @@
 {
   m_assigned = std::move(aAssigned);
   if (m_assigned.m_allEnginesFull) {
-    Refuse(base::ErrorCode::EnginesFull, "the memory of all engines is taken");
+    Refuse(base::ErrorCode::EnginesFull, "no engine has free memory");
     return;
   }
   Send();
@@ -134,7 +134,7 @@
   net::ClientRequest request = m_core.m_format.WriteCall(m_request, call);
   request.m_connectTimeout = m_core.m_options.m_connectTimeout;
   request.m_peerTimeout = m_core.m_options.m_peerTimeout;
-  // The due timer ends the call; libcurl's own limit only backs it up.
+  // The deadline timer ends the call; the limit in libcurl is only a backup.
   request.m_timeout = Remaining() + std::chrono::seconds(1);
   request.m_maxIdle = call.m_maxIdle;
   request.m_sendOnce = true;
@@ -188,7 +188,7 @@
     return;
   }
   const AttemptOutcome outcome = ClassifyOutcome(attempt, aOutcome);
-  // A link that fails is silent; a process that ends has its connections closed.
+  // A failed link is silent, but the connections of a crashed process are closed.
   if (outcome == AttemptOutcome::Broken && !aOutcome.m_timedOut && !attempt.m_invalidReply) {
     RecordCrash(attempt);
   }
@@ -245,7 +245,7 @@
     }
   } else if (aOutcome == AttemptOutcome::NotRun) {
     if (aAttempt.m_head->m_misdirected) {
-      // Its weights are known by now, or its incarnation is gone: it may be asked again.
+      // Its weights are known now, or its incarnation is gone: the endpoint may be tried again.
       m_triedEndpoints.erase(aAttempt.m_incarnation);
     } else {
       m_core.m_endpointBoard.OnFull(aAttempt.m_incarnation, now);
@@ -253,7 +253,8 @@
   }
   const int status = aAttempt.m_head ? aAttempt.m_head->m_status : 0;
   const RetryContext context = RetryContextOf(aOutcome, aAttempt);
-  // The shared budget bounds what endpoints get beyond first sends; this one got nothing.
+  // The shared retry budget limits the load on endpoints beyond first sends; an unsent attempt adds
+  // none.
   const bool arrived = aOutcome != AttemptOutcome::NotSent;
   const bool retry = MayRetry(context, m_core.m_options.m_attempts) &&
                      !m_core.m_crashes.IsQuarantined(m_requestKey) &&
@@ -276,7 +277,7 @@
       Send();
       break;
     case NextStep::AbortReply:
-      AbortReply("the endpoint broke off");
+      AbortReply("the endpoint closed the stream before its end");
       break;
     case NextStep::ForwardReply:
       if (m_core.m_stopping) {
@@ -286,10 +287,10 @@
       Finish("endpoint_failed");
       break;
     case NextStep::Refuse:
-      Refuse(base::ErrorCode::EndpointRefused, "no endpoint took the request");
+      Refuse(base::ErrorCode::EndpointRefused, "no endpoint accepted the request");
       break;
     case NextStep::FailUnknown:
-      FailUnknown(base::ErrorCode::EndpointBroke, "the endpoint gave no whole answer");
+      FailUnknown(base::ErrorCode::EndpointBroke, "the endpoint sent no complete reply");
       break;
   }
 }
--- a/src/ferrytray/relay/exchange_admission_test.cpp
+++ b/src/ferrytray/relay/exchange_admission_test.cpp
@@ -1,4 +1,4 @@
-// What is sent and what is refused when engines are full or out of reach.
+// Admission and refusal when engines are full or unreachable.
 #include <vector> // for vector
 
 #include "tests/support/exchange_fixture.hpp" // for ExchangeFixture
@@ -13,8 +13,8 @@
 
 TEST_GROUP_BASE(ExchangeAdmission, support::ExchangeFixture){};
 
-// Load: a zone is cut off, and a quarter of all sends end without a connection. Their repeats must
-// not use up the budget, nor be refused when it is spent.
+// A partitioned zone makes a quarter of all sends fail to connect. Retrying them must neither
+// consume the retry budget nor be refused when the budget is exhausted.
 TEST(ExchangeAdmission, UnsentAttemptIsRetriedDespiteExhaustedRetryBudget)
 {
   while (m_core.m_retryWindow.TryRepeat("s", base::MonotonicNow())) {
@@ -23,7 +23,7 @@
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(2, m_client.m_calls.size());
   m_client.Head(503, { { "not-run", "1" } });
-  m_client.End(WireEnd::Complete); // arrived: its repeat would be one of the budget
+  m_client.End(WireEnd::Complete); // arrived, so a retry would need the budget
   LONGS_EQUAL(2, m_client.m_calls.size());
   LONGS_EQUAL(503, reply->m_status);
 }
@@ -54,8 +54,8 @@
   STRCMP_EQUAL("", Sent("rank").c_str());
 }
 
-// Load: more long prompts come at once than the engines that are left can hold. Those that are sent
-// fit; the others are refused without having cost anything.
+// A burst of long prompts exceeds the memory of the remaining engines. Those that fit are sent; the
+// others are refused before any send.
 TEST(ExchangeAdmission, LongPromptBurstIsLimitedByEngineMemory)
 {
   constexpr int kBurst = 40;
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -1,4 +1,4 @@
-// Requests under which endpoints broke off, as one exchange deals with them.
+// How an exchange treats requests that crash endpoints.
 #include "ferrytray/peers/replaced_board.hpp" // for KeyOf
 #include "tests/support/exchange_fixture.hpp" // for ExchangeFixture
 
@@ -11,8 +11,8 @@
 
 TEST_GROUP_BASE(ExchangeQuarantine, support::ExchangeFixture){};
 
-// Seen: one request ended an engine after the other; it came again as another request each time,
-// and each was sent on. An exchange knew its own sends only.
+// One request crashed several endpoints in turn: it came back as a new request each time and was
+// sent again, because an exchange knew only its own sends.
 TEST(ExchangeQuarantine, RequestIsQuarantinedAfterThreeEndpointCrashes)
 {
   for (const char* name : { "c", "d", "e", "f" }) {
@@ -28,7 +28,7 @@
   LONGS_EQUAL(503, reply->m_status);
   STRCMP_EQUAL("not_run", reply->Header("run").c_str());
   STRCMP_EQUAL("yes", reply->Header("come-back").c_str());
-  // Others are served: another body, another path.
+  // Requests with another body or path are served.
   Ask("/once/x", "k", "", "good");
   Ask("/again/x", "k", "", "bad");
   LONGS_EQUAL(sent + 2, m_client.m_calls.size());
@@ -105,7 +105,7 @@
   LONGS_EQUAL(0, m_client.m_calls.size());
   granted = true;
   Ask("/again/x", "k", "", "b");
-  m_client.End(WireEnd::NoReply); // it ends this one, too: the host does not repeat it
+  m_client.End(WireEnd::NoReply); // the probe crashes this endpoint too; the host does not retry it
   LONGS_EQUAL(1, m_client.m_calls.size());
   CHECK(m_core.m_crashes.IsQuarantined(key));
 }
@@ -127,10 +127,10 @@
   CHECK_FALSE(m_core.m_crashes.IsQuarantined(key));
 }
 
-// Seen: after all hosts had been killed, a request that harms nobody stayed in quarantine at all of
-// them. It is asked often, so it was sent to endpoints that other requests had ended before and
-// whose addresses closed each connection at once; its one further send met one of these, too, and
-// broke off within 2 ms. Proved by the hosts' logs of that run of real processes.
+// After a crash of all hosts, a harmless request stayed quarantined on every host. It is frequent,
+// so it was sent to endpoints that other requests had crashed before and whose addresses closed
+// each connection at once. Its single probe also went to such an endpoint and broke off within 2
+// ms. Observed in the host logs of a run with real processes.
 TEST(ExchangeQuarantine, BrokenSendToCrashedEndpointIsNotAttributedToRequest)
 {
   const base::TimePoint before = base::MonotonicNow() - 1s;
@@ -184,8 +184,9 @@
   STRCMP_EQUAL(answered.c_str(), Sent("to").c_str());
 }
 
-// Each host found out by a request of its own that an endpoint had ended; what may not run twice
-// then failed. The ends that hosts tell each other for the quarantine say so, too.
+// Each host used to detect a crashed endpoint only through a request of its own, which then failed
+// if it was not repeatable. The crash notices that hosts exchange for the quarantine report it as
+// well.
 TEST(ExchangeQuarantine, EndpointCrashReportedByPeerIsAvoided)
 {
   const base::TimePoint now = base::MonotonicNow();
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -1,4 +1,5 @@
-// What an endpoint's reply brings: its head, what that tells of the endpoint, its body or events.
+// Processing of an endpoint's reply: the head, the endpoint state derived from it, the body or the
+// events.
 #include "ferrytray/relay/exchange.hpp"
 
 #include <utility> // for move
--- a/src/ferrytray/relay/exchange_test.cpp
+++ b/src/ferrytray/relay/exchange_test.cpp
@@ -174,7 +174,7 @@
   Ask("/stream/x", "k", "m");
   m_client.Head(421, { { "not-run", "1" }, { "misdirected", "1" } });
   m_client.End(WireEnd::Complete);
-  CHECK(m_core.m_desiredWeights.empty()); // the roll-out would order them
+  CHECK(m_core.m_desiredWeights.empty()); // the rollout would order them
 }
 
 TEST(Exchange, ReplacedIncarnationIsRemoved)
@@ -241,7 +241,7 @@
   LONGS_EQUAL(1, m_client.m_calls.size());
 }
 
-// Load: weights are rolled out; an engine rejects whatever reaches it while it loads.
+// During a rollout an engine rejects all requests while it loads weights.
 TEST(Exchange, PromptAvoidsReloadingEngine)
 {
   for (const char* closed : { "a", "b" }) {
--- a/src/ferrytray/relay/feed_options.cpp
+++ b/src/ferrytray/relay/feed_options.cpp
@@ -8,33 +8,35 @@
 
 namespace {
 
-// Every read of the directory is charged. A leaving endpoint may get requests for the whole drain
-// time; the rest of it is for a slow answer and for requests under way (percent).
+// Percentage of the drain time between two reads of the directory; every read is charged. A leaving
+// endpoint may receive requests for the whole drain time; the rest allows for a slow answer and for
+// requests in progress.
 constexpr int kPausePercent = 55;
 
-// The same while other hosts follow through this one: they ask three times a second, and notice a
-// host that fails within a second (percent).
+// The same while other hosts follow through this one, in percent. They ask three times a second and
+// notice a failed host within a second.
 constexpr int kServingPausePercent = 35;
 
-// A slow answer of the log, and the time between two questions of another host.
+// Allows for a slow answer of the log and the interval at which another host asks.
 constexpr base::Duration kPeerAgeSlack = std::chrono::milliseconds(700);
 
-// A configuration has to be in force within the bound, whatever the log does with one read. One
-// that is never answered costs a wait and the patience, 55 in 100 of the bound; the rest is for the
-// next read and for hosts that ask this one. It costs four reads of the topic in the time of the
-// bound, at the hosts that read: with 2 s and eight hosts 1.6 times the calls to the log of a day
-// of 44 s, which is 0.005 of its worth.
+// A configuration must be in force within the bound even if the log never answers one read. Such a
+// read costs the wait and the grace time, 55 % of the bound; the rest is for the next read and for
+// hosts that ask this one. This takes four reads of the topic per bound at each reading host: with
+// a bound of 2 s and eight hosts, 1.6 times the log calls of a 44 s day, which costs 0.005 of that
+// day's worth.
 constexpr int kOperatorWaitPercent = 25;
 constexpr int kOperatorGracePercent = 30;
 
-// Answers take milliseconds; one of a log that is slow by a factor of 100 is still waited for.
+// The log answers in milliseconds; this still covers a log that is 100 times slower.
 constexpr base::Duration kMaxOperatorGrace = std::chrono::milliseconds(600);
 
-// A host that hears of operators through another one reads by itself before the bound is over.
+// A host that receives the operators' records from another host reads by itself before the bound
+// ends.
 constexpr int kOperatorPeerAgePercent = 85;
 
-// Hosts tell each other of requests that end endpoints, so the log is needed only by those that
-// start or are cut off from all others; what is left of the bound is for the answer.
+// Hosts notify each other of crashing requests, so only hosts that start or are cut off from all
+// others need the log. The rest of the bound is for the answer.
 constexpr int kQuarantineIsolatedPercent = 50;
 
 base::Duration PercentOf(base::Duration aWhole, int aPercent)
@@ -43,7 +45,7 @@
   return aWhole * aPercent / kWholePercent;
 }
 
-/// All that operators say comes through one topic; the tightest of its bounds counts.
+/// All operator records share one topic, so its tightest bound applies.
 base::Duration TightestOperatorBound(const PropagationBounds& aBounds)
 {
   return std::min({ aBounds.m_configurationDue, aBounds.m_evacuationDue, aBounds.m_revocationDue });
--- a/src/ferrytray/relay/feed_options_test.cpp
+++ b/src/ferrytray/relay/feed_options_test.cpp
@@ -1,11 +1,13 @@
-// Seen: a host denied a route 4 s after the configuration that adds it was acknowledged; the bound
-// is 2 s. The log may hold a read open and not answer it though the record is there (it drops its
-// history meanwhile, or the answer is lost), and nothing else that the host does goes wrong then.
-// The read was open for 20 s, and the directory's reads passed for contact with the log, so the
-// host took its old configuration for the newest. Proved by a day that drops the history just
-// before changes: the read that brought the configuration had been open for 9 s, and 404s were
-// given at an age of 2.8 to 5.3 s.
-// So: every figure here has to follow from the bound itself, whatever the log does with one read.
+// A host answered 404 for a route 4 s after the configuration that adds it was acknowledged; the
+// bound is 2 s. The log may hold a read open and not answer it although the record is there,
+// because it drops its history meanwhile or the answer is lost. Nothing else fails at the host. The
+// read stayed open for 20 s, and reads of the directory counted as contact with the log, so the
+// host took its old configuration for the newest.
+//
+// Reproduced by dropping the history just before changes: the read that returned the configuration
+// had been open for 9 s, and 404s were sent at a configuration age of 2.8 to 5.3 s.
+//
+// Every option must therefore follow from the bound, whatever the log does with a single read.
 #include "ferrytray/relay/feed_options.hpp"
 
 #include <vector> // for vector
@@ -43,18 +45,18 @@
   }
 }
 
-// Reads that are held open may go unanswered in a row; each is followed by one that is not held
-// open, which the log answers in milliseconds.
+// Several long polls in a row may go unanswered. Each is followed by a plain read, which the log
+// answers in milliseconds.
 TEST(FeedOptions, ConsecutiveUnansweredReadsStayWithinBound)
 {
   constexpr base::Duration kAnswer = 100ms;
   for (const base::Duration bound : m_bounds) {
     const relay::FeedOptions options = relay::FeedOptionsFor(UniformBounds(bound));
-    // A change just after a read was begun is maxKnownAfter when the plain read after it is
-    // answered. A host that follows another one asks it later still.
+    // A change just after a read began is known when the following plain read is answered. A host
+    // that follows another host asks it later still.
     const base::Duration maxKnownAfter = options.m_operatorWait + options.m_operatorGrace + kAnswer;
     CHECK(maxKnownAfter + m_pollInterval <= bound);
-    // What a reader tells may have that age; then the follower reads by itself, not held open.
+    // A reader's records may have this age; then the follower sends a plain read itself.
     CHECK(options.m_operatorPeerMaxAge + kAnswer <= bound);
   }
 }
@@ -63,7 +65,7 @@
 {
   for (const base::Duration bound : m_bounds) {
     CHECK(relay::MaxDenialAge(UniformBounds(bound)) < bound);
-    // The same for one that follows a host whose reads hang.
+    // The same for a host that follows a host whose reads hang.
     CHECK(relay::FeedOptionsFor(UniformBounds(bound)).m_operatorPeerMaxAge < bound);
   }
 }
@@ -80,7 +82,8 @@
 {
   for (const base::Duration bound : m_bounds) {
     const relay::FeedOptions options = relay::FeedOptionsFor(UniformBounds(bound));
-    // A read that has just been answered was begun one wait ago, the next answer is one wait away.
+    // The read that was answered last began one wait time ago, and the next answer is one wait time
+    // away.
     const base::Duration oldest = 2 * options.m_operatorWait;
     CHECK(oldest < options.m_operatorPeerMaxAge);
     CHECK(oldest + m_pollInterval < relay::MaxDenialAge(UniformBounds(bound)));
@@ -101,7 +104,7 @@
   for (const base::Duration bound : m_bounds) {
     const relay::FeedOptions options = relay::FeedOptionsFor(UniformBounds(bound));
     CHECK(options.m_quarantineIsolatedInterval + options.m_quarantineGrace < bound);
-    // A host that others ask hears from the log once in a wait.
+    // A reading host gets one answer from the log per wait time.
     CHECK(options.m_quarantinePeerMaxAge >
           options.m_quarantineWait + options.m_quarantineGrace + m_pollInterval);
   }
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -8,8 +8,8 @@
 #include <vector>    // for vector
 
 #include "ferrytray/base/digest.hpp"           // for HashWithSeed
-#include "ferrytray/relay/candidates.hpp"      // for CandidatesFor
-#include "ferrytray/relay/cold_engines.hpp"    // for NoteColdSend
+#include "ferrytray/relay/candidates.hpp"      // for FindCandidates
+#include "ferrytray/relay/cold_engines.hpp"    // for RecordColdSend
 #include "ferrytray/routing/engine_memory.hpp" // for HasRoom, SizeOf
 #include "ferrytray/routing/rendezvous.hpp"    // for RendezvousHomes
 
@@ -110,7 +110,7 @@
       engines.push_back({ place.m_name, routing::TokensOf(work), memory });
     }
   }
-  // What this host sends itself is counted from the moment that it is sent.
+  // This host's own prompts are counted when they are sent.
   const std::uint32_t uncountedTokens = aRequest.m_host == m_news.Name() ? 0 : aRequest.m_tokens;
   const routing::PrefillJob job{
     aRequest.m_key, uncountedTokens, aRequest.m_readTokens, aRequest.m_ownTokens
@@ -173,7 +173,7 @@
   const std::string scope = PromptPlacement::CacheScope(aPrompt.m_model, weights, aAccount);
   std::uint32_t tokens = aPrompt.m_inputTokens;
   for (const PromptPart& part : aPrompt.m_parts) {
-    // The last part is the request's own; behind one that is missing, the rest is read.
+    // The last part is the request's own. Parts after a missing one are recomputed.
     if (&part == &aPrompt.m_parts.back() || !IsStored({ scope, part.m_id }, aNow)) {
       break;
     }
--- a/src/ferrytray/relay/prompt_dispatcher_test.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher_test.cpp
@@ -12,7 +12,8 @@
 using net::WireEnd;
 using support::kLongPrompt;
 
-/// A host that gives out prompts itself, or asks a stronger one whose answers the test gives.
+/// A host that assigns prompts itself, or asks a host of higher capacity whose replies the test
+/// provides.
 TEST_GROUP_BASE(PromptDispatcher, support::ExchangeFixture)
 {
   support::MemoryRecordLog m_log;
@@ -33,7 +34,7 @@
     options.m_capacity = aCapacity;
     options.m_topic = "hosts";
     options.m_lookFirst = 1ms;
-    options.m_askEvery = 1h; // nothing but placement is asked
+    options.m_askEvery = 1h; // only placement requests are sent
     m_log.AppendKeyed("hosts",
                       "strong",
                       peers::Encode(peers::Peer{ "strong", "z", "10.0.0.1:7", 5 }),
@@ -62,7 +63,7 @@
   }
 };
 
-// Load: answers are long and engines full; hosts tell of what they sent too late to see it.
+// Replies are long and engines are full; load reports of other hosts arrive too late to show it.
 TEST(PromptDispatcher, RefusesPromptsBeyondEngineMemory)
 {
   StartDispatcher(9);
@@ -72,18 +73,18 @@
     last = Ask("/stream/x", "k", "long");
     sent = m_client.m_calls.size();
   }
-  // Two engines of 70,000 tokens, to 0.8 each, and one prompt more.
+  // Two engines of 70,000 tokens, filled to 0.8 each, and one more prompt.
   CHECK(sent >= 8 && sent <= 10);
   LONGS_EQUAL(503, last->m_status);
   STRCMP_EQUAL("not_run", last->Header("run").c_str());
 }
 
-// Load: engines crashed that the directory still lists.
+// The directory still lists crashed engines.
 TEST(PromptDispatcher, EngineUnreachableByRequestingHostIsNotAssigned)
 {
   StartDispatcher(9);
   peers::PlacementRequest request = PlacementRequestFor("k");
-  request.m_tokens = 100; // many have room
+  request.m_tokens = 100; // small enough for several to fit
   request.m_unreachable = { peers::TagOf("a") };
   for (int i = 0; i < 4; ++i) {
     STRCMP_EQUAL("b", m_dispatcher->AssignEngine(request).m_engine.c_str());
@@ -91,11 +92,11 @@
   request.m_host = "h2";
   m_dispatcher->AssignEngine(request);
   request.m_unreachable.clear();
-  request.m_host = "h3"; // it has not tried
+  request.m_host = "h3"; // has not tried the engine
   STRCMP_EQUAL("b", m_dispatcher->AssignEngine(request).m_engine.c_str());
 }
 
-// Load: long prompts that arrive together, more of them with one home than it can read in time.
+// Long prompts arrive together, more of them with one home engine than it can read in time.
 TEST(PromptDispatcher, SimultaneousPromptsGetDifferentEngines)
 {
   StartDispatcher(9);
--- a/src/ferrytray/relay/prompt_placement.cpp
+++ b/src/ferrytray/relay/prompt_placement.cpp
@@ -24,7 +24,7 @@
   if (aPrompt.m_parts.empty()) {
     return owner + "/";
   }
-  // The last part is the request's own; the one before it comes again with its session.
+  // The last part is the request's own; the one before it recurs within the session.
   const std::size_t count = aPrompt.m_parts.size();
   return owner + "/" + aPrompt.m_parts[count > 1 ? count - 2 : 0].m_id;
 }
--- a/src/ferrytray/relay/quarantine_feed.cpp
+++ b/src/ferrytray/relay/quarantine_feed.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Between two looks for what is to be recorded; what this host saw itself is recorded at once.
+/// Interval of checks for changes to record. Changes made by this host are recorded at once.
 constexpr base::Duration kRecordInterval = std::chrono::milliseconds(500);
 
 void LogChange(const quarantine::RequestKey& aRequest, const char* aOutcome)
@@ -115,7 +115,7 @@
     aDone(false);
     return;
   }
-  // The record comes before the send: were all hosts killed after it, none may try again.
+  // Recorded before the send, so that no host probes again even if all hosts crash after it.
   known->m_tried = true;
   m_log.AppendKeyed(
     m_topicName,
@@ -123,8 +123,9 @@
     peers::Encode(*known),
     [this, aRequest, done = std::move(aDone)](const base::Result<store::AppendResult>& aResult) {
       m_pendingClaims.erase(aRequest);
-      // The record may have been read back before this answer came, so it is not asked whether
-      // somebody tried meanwhile: only the first host by rank claims, two where hosts disagree.
+      // The topic may return this record before the append is acknowledged, so a set m_tried flag
+      // does not mean that another host probed. Only the first host by rank claims, or two if hosts
+      // disagree.
       const bool granted = aResult && m_core.m_crashes.IsQuarantined(aRequest) && !m_stopped;
       if (granted) {
         m_core.m_crashes.OnTried(aRequest, base::MonotonicNow());
@@ -139,7 +140,9 @@
   const std::optional<quarantine::RequestKey> request = base::DigestFromHex(aRecord.m_key);
   if (!request) {
     m_core.m_unreadable.Note(
-      aRecord, base::Fail(base::ErrorCode::PlatformMalformed, "the key names no request").value());
+      aRecord,
+      base::Fail(base::ErrorCode::PlatformMalformed, "the record key is not a request key")
+        .value());
     return;
   }
   if (aRecord.m_removed) {
--- a/src/ferrytray/relay/quarantine_feed_test.cpp
+++ b/src/ferrytray/relay/quarantine_feed_test.cpp
@@ -19,7 +19,7 @@
   {
     m_feed->Stop();
   }
-  /// As a host that starts.
+  /// Simulates a host start.
   void StartFeed()
   {
     m_core.m_crashes = quarantine::CrashBoard();
--- a/src/ferrytray/relay/relay_front.cpp
+++ b/src/ferrytray/relay/relay_front.cpp
@@ -30,7 +30,7 @@
 base::Result<void> RelayFront::CheckLimits(const net::HttpRequest& aRequest) const
 {
   if (!m_core.m_configuration) {
-    return {}; // refused as not ready
+    return {}; // refused later as not ready
   }
   const fleet::CallerLimits& limits = m_core.m_configuration->Get().m_limits;
   if (aRequest.m_body.size() > limits.m_bodyBytes) {
@@ -52,11 +52,10 @@
     return base::Fail(base::ErrorCode::NotReady, "no configuration has been read yet");
   }
   if (!m_core.m_crashesLoaded) {
-    return base::Fail(base::ErrorCode::NotReady,
-                      "what is known of requests that end endpoints has not been read yet");
+    return base::Fail(base::ErrorCode::NotReady, "the quarantine records have not been read yet");
   }
   if (m_core.m_refusesNewRequests) {
-    return base::Fail(base::ErrorCode::ShuttingDown, "this host stops");
+    return base::Fail(base::ErrorCode::ShuttingDown, "this host is shutting down");
   }
   const bool mayBeStale = m_core.MayBeStale(base::MonotonicNow());
   const auto deny = [mayBeStale](base::ErrorCode aCode, const char* aMessage) {
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -18,15 +18,16 @@
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-// Callers' own limits are the configuration's and change with it; these bound memory only.
+// These limits only bound memory; the limits for callers are in the configuration and change with
+// it.
 constexpr std::size_t kMaxBodyBytes = 16U << 20U;
 constexpr base::Duration kCallerReadTimeout = std::chrono::seconds(75);
 
-// Endpoints that end break off many requests at once; what is told of them goes together.
+// A crashing endpoint breaks off many requests at once; their notices are sent together.
 constexpr base::Duration kCrashNoticeDelay = std::chrono::milliseconds(20);
 
-// After the configuration: a record log that answers for it and not for this is no reason to serve
-// nobody.
+// Time after the configuration was read. If the record log returns the configuration but not the
+// quarantine records, the host serves without them.
 constexpr base::Duration kQuarantineLoadTimeout = std::chrono::milliseconds(1500);
 
 constexpr base::Duration kShutdownCheckInterval = std::chrono::milliseconds(50);
@@ -96,7 +97,7 @@
   if (base::Result<void> news = m_news.Start(); !news) {
     return news;
   }
-  m_rollout.SetStandby(true); // until it is known to be one of those that read
+  m_rollout.SetStandby(true); // until this host is known to be one of the readers
   m_rollout.AddDuty(m_upkeep);
   m_rollout.OnReload([this](const rollout::PlannedReload& aReload) { OnReloadPlanned(aReload); });
   m_rollout.Start();
@@ -114,7 +115,8 @@
   if (!std::exchange(m_core.m_crashesLoaded, true)) {
     telemetry::LogLine("quarantine")
       .Add("outcome", "not_read")
-      .Add("why", "the record log does not answer for it; requests are served without");
+      .Add("why",
+           "the record log did not return the quarantine topic; requests are served without it");
   }
 }
 
@@ -252,7 +254,7 @@
                               aReload.m_revision },
                             now);
   if (!std::exchange(m_reloadNoticePending, true)) {
-    // Reloads are planned many at a time.
+    // Several reloads are planned at once; one notice announces them together.
     m_loop.Post([this] {
       m_reloadNoticePending = false;
       m_news.TellReloads();
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The users' platform judges a host from 3 s after its start.
+/// The users' platform judges a host only from 3 s after its start.
 constexpr base::Duration kStartupGrace = std::chrono::milliseconds(2500);
 
 } // namespace
@@ -149,7 +149,7 @@
     }
     ++endpoints;
     if (!aEvacuated) {
-      // Nothing was sent to them meanwhile, so nobody knows whether they are as they were.
+      // No requests were sent to the zone meanwhile, so its endpoints may have restarted unnoticed.
       SuspectColdStart(m_core, *endpoint, now);
     }
   }
@@ -195,8 +195,8 @@
     return;
   }
   desired = read->m_version;
-  // A host that starts does not know for how long they have been named. It counts as long ago, but
-  // for the time in which a host that has just started is excused.
+  // A starting host does not know when the version was named. It assumes a time long ago, plus the
+  // grace time of a host that has just started.
   const base::TimePoint now = base::MonotonicNow();
   m_core.m_namedWeights.OnNamed(
     read->m_model,
@@ -224,7 +224,7 @@
 bool StateFeeds::UpdateLastRecord(const std::string& aKey, const fleet::Endpoint& aEndpoint)
 {
   fleet::Endpoint current = aEndpoint;
-  // A cold endpoint tells with each heartbeat that less time is left.
+  // The remaining cold time shrinks with each heartbeat and must not count as a change.
   current.m_coldFor =
     current.m_coldFor > base::Duration::zero() ? base::Duration(1) : base::Duration();
   fleet::Endpoint& previous = m_lastRecords[aKey];
@@ -252,7 +252,8 @@
   }
   if (!read) {
     m_core.m_unreadable.Note(aRecord, read.error());
-    // A host that is given the newest records has only this one: the next readable one is changed.
+    // Hosts that read the topic now get only this unreadable record, so the next readable one must
+    // count as a change.
     m_lastRecords.erase(aRecord.m_key);
     return false;
   }
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr base::Duration kColdFor = 3s;
 
-/// Records of words: an endpoint's entry is "BIRTH ZONE", an evacuation's key "leave ZONE".
+/// Records in plain text: an endpoint's value is "BIRTH ZONE", an evacuation's key "leave ZONE".
 class FakeRecordFormat final : public relay::RecordFormat
 {
 public:
@@ -74,7 +74,7 @@
   {
     m_log.AppendKeyed(aTopic, aKey, aValue, [](const auto&) {});
   }
-  /// Reads both topics from their beginning.
+  /// Reads both topics from the start.
   void StartFeeds(const relay::FeedOptions& aOptions = {})
   {
     if (m_feeds) {
@@ -85,7 +85,7 @@
       topic->Start();
     }
   }
-  /// As another host passes records on.
+  /// Delivers records as another host forwards them.
   void DeliverFromPeer(const char* aTopic, std::vector<store::Record> aRecords)
   {
     for (const auto& topic : m_feeds->Topics()) {
@@ -173,7 +173,8 @@
   LONGS_EQUAL(0, forwardedRecords());
   DeliverFromPeer("endpoints", { { 3, "e", "1 z2", false } });
   LONGS_EQUAL(1, forwardedRecords());
-  // After one that can't be read, the same is news: hosts that start now were given that one.
+  // After an unreadable record an equal one counts as a change: hosts that start now were given the
+  // unreadable one.
   DeliverFromPeer("endpoints", { { 4, "e", "spoilt", false }, { 5, "e", "1 z2", false } });
   LONGS_EQUAL(2, forwardedRecords());
   DeliverFromPeer("endpoints", { { 6, "e", "", true } });
@@ -189,12 +190,12 @@
   STRCMP_EQUAL("s", m_core.m_directory.FindById("e")->m_service.c_str());
   LONGS_EQUAL(1, m_core.m_directory.FindById("e")->m_born);
   DeliverFromPeer("endpoints", { { 2, "f", "1 elsewhere", false } });
-  CHECK(m_core.m_directory.FindById("f") != nullptr); // its configuration may come later
+  CHECK(m_core.m_directory.FindById("f") != nullptr); // the configuration may be read later
   LONGS_EQUAL(1, m_core.m_directory.Usable("s").size());
 }
 
-// Seen: a host denied what a newer configuration allows, sure of itself since its reads of the
-// directory went on; the read of the operators' topic was open and never answered.
+// A host denied requests that a newer configuration allows: its reads of the directory went on
+// while the read of the operators' topic stayed open and unanswered.
 TEST(StateFeeds, DirectoryReadsDoNotRefreshConfigurationAge)
 {
   Append("operators", "configuration", "x");
--- a/src/ferrytray/relay/upkeep_duty.cpp
+++ b/src/ferrytray/relay/upkeep_duty.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Looking through all stores costs more than the other duties' checks.
+// Scanning all stores costs more than the other duties' checks.
 constexpr base::Duration kPlanInterval = std::chrono::seconds(1);
 
 std::map<std::string, std::uint32_t> OldestWeights(const fleet::Directory& aDirectory)
@@ -28,7 +28,7 @@
 
 bool UpkeepDuty::Pending(base::TimePoint aNow)
 {
-  // Looked at again though something is due: another host may have done it meanwhile.
+  // Planned again even if frees are pending: another host may have done them meanwhile.
   if (aNow >= m_plannedAt + kPlanInterval) {
     m_plannedAt = aNow;
     m_pendingFrees = m_upkeep.Plan(m_core.m_stores, OldestWeights(m_core.m_directory), aNow);
@@ -48,7 +48,7 @@
       telemetry::LogLine("parts_freed")
         .Add("store", parts.m_store)
         .Add("parts", parts.m_parts.size())
-        .Add("why", "no engine runs their weights")
+        .Add("why", "no engine runs the weights of these parts")
         .Add("outcome", aDone ? "done" : "failed");
     });
   }
