--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -42,29 +42,30 @@
                                                aAssigned.m_engine,
                                                base::MonotonicNow());
   const std::vector<const fleet::Endpoint*>& endpoints = candidates.m_endpoints;
-  const std::vector<routing::PlacementCandidate>& places = candidates.m_placements;
+  const std::vector<routing::PlacementCandidate>& placements = candidates.m_placements;
   if (!m_request.m_prompt) {
-    const auto chosen = routing::PlaceAnywhere(places, m_core.m_random());
-    return chosen ? Target{ endpoints[*chosen], "", places[*chosen].m_work, false } : Target{};
+    const auto chosen = routing::PlaceAnywhere(placements, m_core.m_random());
+    return chosen ? Target{ endpoints[*chosen], "", placements[*chosen].m_work, false } : Target{};
   }
-  for (std::size_t i = 0; i < places.size(); ++i) {
-    if (places[i].m_name == aAssigned.m_engine && !places[i].m_avoided) {
+  for (std::size_t i = 0; i < placements.size(); ++i) {
+    if (placements[i].m_name == aAssigned.m_engine && !placements[i].m_avoided) {
       const fleet::Endpoint* cacheHolder = m_core.m_directory.Find(aAssigned.m_cacheHolder);
-      return {
-        endpoints[i], cacheHolder == nullptr ? "" : cacheHolder->m_address, places[i].m_work, false
-      };
+      return { endpoints[i],
+               cacheHolder == nullptr ? "" : cacheHolder->m_address,
+               placements[i].m_work,
+               false };
     }
   }
   const auto place =
-    m_core.m_promptPlacement.Place(*m_request.m_prompt, m_routeMatch.m_account, places);
+    m_core.m_promptPlacement.Place(*m_request.m_prompt, m_routeMatch.m_account, placements);
   if (!place) {
     return {};
   }
   const bool elsewhere = place->m_home != place->m_chosen;
   return { endpoints[place->m_chosen],
            elsewhere ? endpoints[place->m_home]->m_address : "",
-           places[place->m_chosen].m_work,
-           places[place->m_chosen].m_full };
+           placements[place->m_chosen].m_work,
+           placements[place->m_chosen].m_full };
 }
 
 bool CallPlanner::IsLongPrompt(const std::string& aService) const
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -72,22 +72,25 @@
                                   : std::max(1U, maxConnections / aCore.m_options.m_hostsSharing);
   Candidates candidates;
   for (const fleet::Endpoint* endpoint : aCore.m_directory.Usable(aServiceName)) {
-    const std::string& name = endpoint->m_incarnation;
-    const bool tooOld = aRequirements && HasOutdatedWeights(aCore, *endpoint, *aRequirements, aNow);
-    if (aExcluded.contains(name) || aCore.m_endpointBoard.Open(name) >= maxOpen || tooOld) {
+    const std::string& incarnation = endpoint->m_incarnation;
+    const bool outdated =
+      aRequirements && HasOutdatedWeights(aCore, *endpoint, *aRequirements, aNow);
+    if (aExcluded.contains(incarnation) || aCore.m_endpointBoard.Open(incarnation) >= maxOpen ||
+        outdated) {
       continue;
     }
-    if (name != aAssigned && !MaySendToCold(aCore, *endpoint, aCold, aNow)) {
+    if (incarnation != aAssigned && !MaySendToCold(aCore, *endpoint, aCold, aNow)) {
       continue;
     }
-    const peers::EndpointTag tag = peers::TagOf(name);
-    const routing::Work work = aCore.m_endpointBoard.OpenWork(name) + aCore.m_peerLoads.Others(tag);
+    const peers::EndpointTag tag = peers::TagOf(incarnation);
+    const routing::Work work =
+      aCore.m_endpointBoard.OpenWork(incarnation) + aCore.m_peerLoads.Others(tag);
     const bool reloading = aRequirements && aCore.m_reloads.IsReloading(tag, aNow);
-    const bool avoided =
-      reloading || aCore.m_endpointBoard.Avoided(name, aNow) || HasCrashed(aCore, name, aNow);
+    const bool avoided = reloading || aCore.m_endpointBoard.Avoided(incarnation, aNow) ||
+                         HasCrashed(aCore, incarnation, aNow);
     candidates.m_endpoints.push_back(endpoint);
     candidates.m_placements.push_back(
-      { name, work, avoided, aRequirements && LacksMemory(aService, *aRequirements, work) });
+      { incarnation, work, avoided, aRequirements && LacksMemory(aService, *aRequirements, work) });
   }
   return candidates;
 }
--- a/src/ferrytray/relay/cold_engines.cpp
+++ b/src/ferrytray/relay/cold_engines.cpp
@@ -24,16 +24,17 @@
                    routing::ColdUse aUse,
                    base::TimePoint aNow)
 {
-  const std::string& name = aEndpoint.m_incarnation;
-  if (!aCore.m_coldStarts.IsCold(name, aNow) ||
+  const std::string& incarnation = aEndpoint.m_incarnation;
+  if (!aCore.m_coldStarts.IsCold(incarnation, aNow) ||
       FindColdTraits(aCore, aEndpoint.m_service) == nullptr) {
     return true;
   }
-  if (!aCore.m_coldStarts.MaySend(name, aUse, aNow)) {
+  if (!aCore.m_coldStarts.MaySend(incarnation, aUse, aNow)) {
     return false;
   }
   return aUse == routing::ColdUse::Assigned ||
-         (aCore.m_isAmongFirstHosts && aCore.m_isAmongFirstHosts(name, aCore.m_coldStarts.Hosts()));
+         (aCore.m_isAmongFirstHosts &&
+          aCore.m_isAmongFirstHosts(incarnation, aCore.m_coldStarts.Hosts()));
 }
 
 void RecordColdSend(RelayCore& aCore,
--- a/src/ferrytray/relay/cold_engines_test.cpp
+++ b/src/ferrytray/relay/cold_engines_test.cpp
@@ -129,14 +129,14 @@
   std::size_t MaxInOneSecond()
   {
     std::sort(m_sent.begin(), m_sent.end());
-    std::size_t most = 0;
+    std::size_t maxSent = 0;
     for (std::size_t first = 0, next = 0; first < m_sent.size(); ++first) {
       while (next < m_sent.size() && m_sent[next] < m_sent[first] + 1s) {
         ++next;
       }
-      most = std::max(most, next - first);
+      maxSent = std::max(maxSent, next - first);
     }
-    return most;
+    return maxSent;
   }
 
   std::mt19937 m_random;
@@ -164,15 +164,15 @@
 // rate: with random times that traffic alone exceeds the bound in 1 of 1,000 schedules.
 TEST(ColdEngines, IndependentHostsStayWithinGlobalColdBound)
 {
-  std::size_t most = 0;
+  std::size_t maxSent = 0;
   for (unsigned seed = 0; seed < 1000; ++seed) {
     for (const std::size_t hosts : { 8U, 80U }) {
       ColdEngineModel model(hosts, seed);
-      most = std::max(most, model.Simulate());
+      maxSent = std::max(maxSent, model.Simulate());
       CHECK(model.Sent() > 0);
     }
   }
-  CHECK(most <= kMaxPerSecond);
+  CHECK(maxSent <= kMaxPerSecond);
 }
 
 TEST(ColdEngines, ColdRateLimitIsCappedByOperatorBound)
--- a/src/ferrytray/relay/event_splitter.cpp
+++ b/src/ferrytray/relay/event_splitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::string_view kEnd = "\n\n";
+constexpr std::string_view kEventEnd = "\n\n";
 constexpr std::string_view kIdField = "id:";
 
 std::optional<std::uint64_t> IdOf(std::string_view aEvent)
@@ -37,22 +37,22 @@
 EventSplitter::CompleteEvents EventSplitter::Feed(std::string_view aBytes)
 {
   m_buffer.append(aBytes);
-  CompleteEvents whole;
+  CompleteEvents complete;
   std::size_t start = 0;
-  for (std::size_t end = m_buffer.find(kEnd); end != std::string::npos;
-       end = m_buffer.find(kEnd, start)) {
-    const std::size_t next = end + kEnd.size();
+  for (std::size_t end = m_buffer.find(kEventEnd); end != std::string::npos;
+       end = m_buffer.find(kEventEnd, start)) {
+    const std::size_t next = end + kEventEnd.size();
     const std::string_view event = std::string_view(m_buffer).substr(start, next - start);
     const std::optional<std::uint64_t> id = IdOf(event);
-    const bool known = id && m_skipThrough && *id <= *m_skipThrough;
-    if (!known) {
-      whole.m_bytes.append(event);
-      whole.m_lastId = id ? id : whole.m_lastId;
+    const bool skipped = id && m_skipThrough && *id <= *m_skipThrough;
+    if (!skipped) {
+      complete.m_bytes.append(event);
+      complete.m_lastId = id ? id : complete.m_lastId;
     }
     start = next;
   }
   m_buffer.erase(0, start);
-  return whole;
+  return complete;
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/event_splitter_test.cpp
+++ b/src/ferrytray/relay/event_splitter_test.cpp
@@ -22,16 +22,16 @@
 TEST(EventSplitter, ReportsLastIdAndBuffersPartialEvent)
 {
   relay::EventSplitter splitter;
-  const auto whole = splitter.Feed("weight-versions: 2\nid: 7\ndata: a\n\nid: 8\nda");
-  CHECK(whole.m_lastId == std::optional<std::uint64_t>(7));
+  const auto events = splitter.Feed("weight-versions: 2\nid: 7\ndata: a\n\nid: 8\nda");
+  CHECK(events.m_lastId == std::optional<std::uint64_t>(7));
   STRCMP_EQUAL("id: 8\nda", splitter.Remainder().c_str());
 }
 
 TEST(EventSplitter, SkipsEventsUpToResumeId)
 {
   relay::EventSplitter splitter(2);
-  const auto whole = splitter.Feed("id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-  STRCMP_EQUAL("id: 3\ndata: c\n\n", whole.m_bytes.c_str());
+  const auto events = splitter.Feed("id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
+  STRCMP_EQUAL("id: 3\ndata: c\n\n", events.m_bytes.c_str());
 }
 
 TEST(EventSplitter, ForwardsEventWithoutId)
--- a/src/ferrytray/relay/exchange_end.cpp
+++ b/src/ferrytray/relay/exchange_end.cpp
@@ -53,11 +53,11 @@
   m_service = m_planner.PickService();
   const bool anywhere = m_core.m_crashes.MayTryAnywhere(m_requestKey, m_arrivedAt);
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(m_service)) {
-    const std::string& name = endpoint->m_incarnation;
-    const bool answers =
-      anywhere || m_core.m_endpointBoard.AnsweredSince(name, m_arrivedAt - kRecentReplyWindow);
-    if (!answers || m_core.m_crashes.HasEnded(peers::KeyOf(name))) {
-      m_triedEndpoints.insert(name);
+    const std::string& incarnation = endpoint->m_incarnation;
+    const bool repliedRecently = anywhere || m_core.m_endpointBoard.AnsweredSince(
+                                               incarnation, m_arrivedAt - kRecentReplyWindow);
+    if (!repliedRecently || m_core.m_crashes.HasEnded(peers::KeyOf(incarnation))) {
+      m_triedEndpoints.insert(incarnation);
     }
   }
   return m_planner.PickTarget(m_service, m_triedEndpoints, m_assigned).m_endpoint != nullptr;
@@ -169,10 +169,10 @@
 {
   m_done = true;
   m_deadlineTimer.reset();
-  const base::Duration took = base::MonotonicNow() - m_arrivedAt;
+  const base::Duration duration = base::MonotonicNow() - m_arrivedAt;
   m_core.m_metrics.Count("requests_total{outcome=\"" + std::string(aOutcome) + "\"}");
-  m_core.m_metrics.Observe("request_seconds", base::Seconds(took));
-  const base::TimePoint contact = m_core.m_lastContact.value_or(m_arrivedAt);
+  m_core.m_metrics.Observe("request_seconds", base::Seconds(duration));
+  const base::TimePoint lastContact = m_core.m_lastContact.value_or(m_arrivedAt);
   telemetry::LogLine line("request");
   line.Add("request", m_request.m_id)
     .Add("request_key", base::ToHex(m_requestKey))
@@ -183,8 +183,8 @@
     .Add("at_home", m_lastAtHome ? "yes" : "no")
     .Add("assigned", m_assigned.m_engine.empty() ? "no" : "yes")
     .Add("sends", m_sends)
-    .Add("took_ms", base::ToMillis(took))
-    .Add("contact_age_ms", base::ToMillis(base::MonotonicNow() - contact))
+    .Add("took_ms", base::ToMillis(duration))
+    .Add("contact_age_ms", base::ToMillis(base::MonotonicNow() - lastContact))
     .Add("operators_age_ms", m_core.OperatorsAgeMillis(base::MonotonicNow()))
     .Add("target_ms", base::ToMillis(m_routeMatch.m_route->m_targetLatency))
     .Add("outcome", aOutcome)
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -50,11 +50,11 @@
 {
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   Ask("/once/x", "k", "", "b");
-  net::ClientOutcome silence;
-  silence.m_end = WireEnd::NoReply;
-  silence.m_timedOut = true;
+  net::ClientOutcome timeout;
+  timeout.m_end = WireEnd::NoReply;
+  timeout.m_timedOut = true;
   const auto events = m_client.m_calls.back().m_events;
-  events.m_onEnd(silence);
+  events.m_onEnd(timeout);
   Ask("/once/x", "k", "", "b");
   m_client.Head(500, {});
   m_client.End(WireEnd::Complete);
@@ -191,8 +191,10 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
-  const quarantine::CrashNotice told{ quarantine::NoticeKind::Broken, other, peers::KeyOf("a"), 1 };
-  m_core.m_crashes.OnNotice(told, now);
+  const quarantine::CrashNotice notice{
+    quarantine::NoticeKind::Broken, other, peers::KeyOf("a"), 1
+  };
+  m_core.m_crashes.OnNotice(notice, now);
   for (int i = 0; i < 20; ++i) {
     Ask("/once/x", "k", i % 2 == 0 ? "m" : "", "b" + std::to_string(i));
     STRCMP_EQUAL("b", Sent("to").c_str());
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -33,10 +33,10 @@
     m_core.m_directory.NoteWeights(
       m_attempt->m_incarnation, m_request.m_prompt->m_model, *aHead.m_weights);
   }
-  const bool otherWeights =
+  const bool weightMismatch =
     aHead.m_misdirected && m_attempt->m_weights && !aHead.m_weights &&
     (aHead.m_endpointId.empty() || aHead.m_endpointId == m_attempt->m_endpointId);
-  if (otherWeights) {
+  if (weightMismatch) {
     const std::string& model = m_request.m_prompt->m_model;
     const auto desired = m_core.m_desiredWeights.find(model);
     const fleet::WeightVersion newest =
@@ -72,9 +72,9 @@
     return;
   }
   if (m_routeMatch.m_route->m_streaming && IsSuccess(*m_attempt)) {
-    EventSplitter::CompleteEvents whole = m_attempt->m_eventSplitter.Feed(aPiece);
-    m_lastEventId = whole.m_lastId ? whole.m_lastId : m_lastEventId;
-    ForwardEvents(std::move(whole.m_bytes));
+    EventSplitter::CompleteEvents events = m_attempt->m_eventSplitter.Feed(aPiece);
+    m_lastEventId = events.m_lastId ? events.m_lastId : m_lastEventId;
+    ForwardEvents(std::move(events.m_bytes));
     return;
   }
   if (m_attempt->m_body.size() + aPiece.size() > m_core.m_options.m_maxReplyBytes) {
@@ -118,9 +118,9 @@
   if (ours && aAttempt.m_head->m_notRun) {
     return AttemptOutcome::NotRun;
   }
-  const bool whole = ours && aOutcome.m_end == net::WireEnd::Complete;
-  return whole && !aAttempt.m_head->Succeeds() ? AttemptOutcome::ErrorReply
-                                               : AttemptOutcome::Broken;
+  const bool complete = ours && aOutcome.m_end == net::WireEnd::Complete;
+  return complete && !aAttempt.m_head->Succeeds() ? AttemptOutcome::ErrorReply
+                                                  : AttemptOutcome::Broken;
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -43,18 +43,18 @@
   request.m_readTokens = PrefillTokens(aPrompt, aAccount, now);
   request.m_ownTokens = aPrompt.m_parts.empty() ? 0 : aPrompt.m_parts.back().m_tokens;
   const std::optional<peers::Peer> host = m_news.Placer(request.m_zone, now);
-  const auto avoided = host ? m_backoffUntil.find(host->m_name) : m_backoffUntil.end();
-  if (!host || (avoided != m_backoffUntil.end() && now < avoided->second)) {
+  const auto backoff = host ? m_backoffUntil.find(host->m_name) : m_backoffUntil.end();
+  if (!host || (backoff != m_backoffUntil.end() && now < backoff->second)) {
     aDone({});
     return;
   }
-  const auto assign = [tokens = request.m_readTokens](peers::PlacementReply aReply) {
+  const auto toAssignment = [tokens = request.m_readTokens](peers::PlacementReply aReply) {
     return Assignment{
       std::move(aReply.m_engine), std::move(aReply.m_holder), tokens, aReply.m_free, aReply.m_full
     };
   };
   if (m_news.IsSelf(*host)) {
-    aDone(assign(AssignEngine(request)));
+    aDone(toAssignment(AssignEngine(request)));
     return;
   }
   if (const auto seen = std::exchange(m_prefillSample, std::nullopt)) {
@@ -64,12 +64,12 @@
   }
   m_news.AskPlacement(*host,
                       request,
-                      [this, name = host->m_name, assign, done = std::move(aDone)](
+                      [this, name = host->m_name, toAssignment, done = std::move(aDone)](
                         std::optional<peers::PlacementReply> aReply) {
                         if (!aReply) {
                           m_backoffUntil[name] = base::MonotonicNow() + m_options.m_hostBackoff;
                         }
-                        done(aReply ? assign(std::move(*aReply)) : Assignment{});
+                        done(aReply ? toAssignment(std::move(*aReply)) : Assignment{});
                       });
 }
 
@@ -149,10 +149,10 @@
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(aService)) {
     ++engines[endpoint->m_zone];
   }
-  const bool enough = std::all_of(engines.begin(), engines.end(), [&](const auto& aZone) {
+  const bool zonesLargeEnough = std::all_of(engines.begin(), engines.end(), [&](const auto& aZone) {
     return aZone.second >= m_options.m_minEnginesPerZone;
   });
-  if (engines.empty() || !enough) {
+  if (engines.empty() || !zonesLargeEnough) {
     return "";
   }
   std::vector<std::string> zones;
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -209,9 +209,11 @@
 {
   for (const fleet::Endpoint* endpoint : m_core.m_directory.All()) {
     if (peers::KeyOf(endpoint->m_incarnation) == aKey) {
-      const std::string gone = endpoint->m_incarnation;
-      telemetry::LogLine("endpoint_gone").Add("endpoint", gone).Add("told_by", "another host");
-      m_core.m_directory.MarkGone(gone);
+      const std::string incarnation = endpoint->m_incarnation;
+      telemetry::LogLine("endpoint_gone")
+        .Add("endpoint", incarnation)
+        .Add("told_by", "another host");
+      m_core.m_directory.MarkGone(incarnation);
       return;
     }
   }
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -271,10 +271,10 @@
   if (FindColdTraits(m_core, read->m_service) != nullptr) {
     m_core.m_coldStarts.OnTold(read->m_incarnation, read->m_coldFor, previous == nullptr, now);
   }
-  const std::string former = previous == nullptr ? "" : previous->m_incarnation;
+  const std::string previousIncarnation = previous == nullptr ? "" : previous->m_incarnation;
   m_core.m_directory.Upsert(std::move(*read), now);
-  if (!former.empty() && m_core.m_directory.Find(former) == nullptr) {
-    ForgetEndpoint(former);
+  if (!previousIncarnation.empty() && m_core.m_directory.Find(previousIncarnation) == nullptr) {
+    ForgetEndpoint(previousIncarnation);
   }
   return changed;
 }
