--- a/include/ferrytray/relay/record_format.hpp
+++ b/include/ferrytray/relay/record_format.hpp
@@ -17,7 +17,8 @@
   fleet::WeightVersion m_version = 0;
 };
 
-/// @brief Decodes the records that operators and endpoints write to the record log.
+/// @brief Decodes the records that operators and endpoints write to the record log. Makes no
+/// decisions.
 class RecordFormat
 {
 public:
--- a/include/ferrytray/relay/wire_format.hpp
+++ b/include/ferrytray/relay/wire_format.hpp
@@ -16,7 +16,8 @@
   std::string m_body;
 };
 
-/// @brief Encodes and decodes the messages exchanged with callers and endpoints.
+/// @brief Encodes and decodes the messages exchanged with callers and endpoints. Makes no
+/// decisions.
 class WireFormat
 {
 public:
