--- a/include/ferrytray/relay/attempt_policy.hpp
+++ b/include/ferrytray/relay/attempt_policy.hpp
@@ -7,55 +7,57 @@
 
 namespace ferrytray::relay {
 
-/// @brief How one send to an endpoint ended, when it did not end in a success.
-enum class AttemptEnd : std::uint8_t
+/// @brief The outcome of an unsuccessful attempt to send a request to an endpoint.
+enum class AttemptOutcome : std::uint8_t
 {
-  NotSent, ///< no byte of the request reached the endpoint
-  NotRun,  ///< the endpoint states that it has not run it
-  Failure, ///< a whole reply that is not a success; it has run
-  Broken,  ///< sent, and the reply is missing, cut short or not this request's: it may have run
+  NotSent,    ///< no byte of the request reached the endpoint
+  NotRun,     ///< the endpoint reports that it has not executed the request
+  ErrorReply, ///< complete reply with an error status; the request was executed
+  Broken,     ///< sent, but the reply is missing, truncated or invalid; the request may have been
+              ///< executed
 };
 
-/// @brief The word for it in logs.
-std::string_view ToString(AttemptEnd aEnd);
+/// @brief The value of the "end" key in log lines.
+std::string_view ToString(AttemptOutcome aOutcome);
 
-/// @brief What is done with the request next.
+/// @brief What the exchange does after an unsuccessful attempt.
 enum class NextStep : std::uint8_t
 {
-  TryElsewhere, ///< send it again, or let the stream go on, at another endpoint
-  Forward,      ///< give the endpoint's own failure to the caller
-  Refuse,       ///< not run, and never will be
-  Fail,         ///< it may have run
-  BreakOff,     ///< part of the answer is with the caller: close without an end
+  Retry,        ///< resend the request, or resume the stream, at another endpoint
+  ForwardReply, ///< forward the endpoint's error reply to the caller
+  Refuse,       ///< answer with an error: the request was not executed and will not be
+  FailUnknown,  ///< answer with an error: the request may have been executed
+  AbortReply,   ///< the caller has part of the reply: close the connection without an end
 };
 
-/// @brief What decides the next step.
-struct AttemptFacts
+/// @brief The state of a request on which the next step depends.
+struct RetryContext
 {
-  AttemptEnd m_end = AttemptEnd::Broken;
-  bool m_repeatable = false;  ///< the route allows to run it again
-  bool m_answerBegan = false; ///< the caller has part of the answer
-  bool m_mayHaveRun = false;  ///< at this or an earlier endpoint
-  bool m_forwardable = false; ///< the failure is a whole reply that the caller may get
-  std::uint32_t m_ranOn = 0;  ///< endpoints on which it ran or may have run
+  AttemptOutcome m_outcome = AttemptOutcome::Broken;
+  bool m_repeatable = false;         ///< the route allows the request to be executed more than once
+  bool m_replyStarted = false;       ///< part of the reply was sent to the caller
+  bool m_mayHaveRun = false;         ///< by this or an earlier endpoint
+  bool m_forwardable = false;        ///< the error reply may be forwarded to the caller
+  std::uint32_t m_endpointsUsed = 0; ///< endpoints that executed or may have executed the request
   std::uint32_t m_maxEndpoints = 1;
   std::uint32_t m_sends = 1;
-  base::Duration m_left{}; ///< until the answer is due
+  base::Duration m_remaining{}; ///< until the deadline
 };
 
 struct AttemptLimits
 {
-  /// Sends of one request, refused ones included; the shared retry budget is the tighter bound.
+  /// Sends per request, including refused ones. The shared retry budget usually limits sends
+  /// earlier.
   std::uint32_t m_maxSends = 4;
-  /// With less time left, another send would only be thrown away.
-  base::Duration m_leastLeft = std::chrono::milliseconds(60);
+  /// With less time remaining, another send could not be answered before the deadline.
+  base::Duration m_minRemaining = std::chrono::milliseconds(60);
 };
 
-/// @brief Whether another send is allowed, but for the shared budget of repeats.
-[[nodiscard]] bool MayTryAgain(const AttemptFacts& aFacts, const AttemptLimits& aLimits);
+/// @brief Whether another send is allowed; does not check the shared retry budget.
+[[nodiscard]] bool MayRetry(const RetryContext& aContext, const AttemptLimits& aLimits);
 
-/// @brief Decides what happens after a send that did not succeed.
-/// @param aTryAgain MayTryAgain() held and the budget granted the repeat
-[[nodiscard]] NextStep DecideNext(const AttemptFacts& aFacts, bool aTryAgain);
+/// @brief Decides what happens after an unsuccessful attempt.
+/// @param aRetryGranted MayRetry() returned true and the shared budget granted the retry
+[[nodiscard]] NextStep DecideNextStep(const RetryContext& aContext, bool aRetryGranted);
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/event_splitter.hpp
+++ b/include/ferrytray/relay/event_splitter.hpp
@@ -7,30 +7,30 @@
 
 namespace ferrytray::relay {
 
-/// @brief Cuts a server-sent event stream into whole events.
+/// @brief Splits a server-sent event stream into complete events.
 class EventSplitter
 {
 public:
-  /// @brief What a call of Feed() completed.
-  struct Whole
+  /// @brief The events completed by a call of Feed().
+  struct CompleteEvents
   {
-    std::string m_bytes; ///< whole events, as they came
+    std::string m_bytes; ///< complete events, unchanged
     std::optional<std::uint64_t> m_lastId;
   };
 
-  /// @param aSkipThrough events up to this id are left out (the caller has them)
+  /// @param aSkipThrough events with ids up to this one are dropped because the caller has them
   explicit EventSplitter(std::optional<std::uint64_t> aSkipThrough = {})
     : m_skipThrough(aSkipThrough)
   {
   }
 
-  Whole Feed(std::string_view aBytes);
-  /// @brief What follows the last whole event.
-  [[nodiscard]] const std::string& Rest() const { return m_rest; }
+  CompleteEvents Feed(std::string_view aBytes);
+  /// @brief The bytes after the last complete event.
+  [[nodiscard]] const std::string& Remainder() const { return m_buffer; }
 
 private:
   std::optional<std::uint64_t> m_skipThrough;
-  std::string m_rest;
+  std::string m_buffer;
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -6,15 +6,15 @@
 #include <string>     // for string
 
 #include "ferrytray/net/loop.hpp"                 // for Loop
-#include "ferrytray/quarantine/record_keeper.hpp" // for RecordReconciler
+#include "ferrytray/quarantine/record_keeper.hpp" // for RecordKeeper
 #include "ferrytray/relay/feed_options.hpp"       // for FeedOptions
 #include "ferrytray/relay/relay_core.hpp"         // for RelayCore
 #include "ferrytray/store/topic_follower.hpp"     // for TopicFollower
 
 namespace ferrytray::relay {
 
-/// @brief Keeps the requests that end endpoints in a keyed topic of the record log, so that hosts
-/// that start anew, were away, or were all killed at once know them, and takes them from there.
+/// @brief Synchronizes the crash board with a keyed topic of the record log, so that hosts know the
+/// quarantined requests after a start, a lost connection or a crash of all hosts.
 class QuarantineFeed
 {
 public:
@@ -25,19 +25,19 @@
   void Start();
   void Stop();
 
-  /// @brief Followed once it is started.
+  /// @brief The topic's follower; the caller starts it.
   [[nodiscard]] const std::shared_ptr<store::TopicFollower>& Topic() const { return m_topic; }
-  /// @brief This host saw an end of the request, or a whole answer to it.
-  void OnOwn(const quarantine::RequestKey& aRequest);
-  /// @brief This host hears of no other one: the record log is asked at once.
-  void OnAlone() { m_topic->RestartRead(); }
+  /// @brief This host saw an endpoint crash during the request, or a complete reply to it.
+  void OnLocalChange(const quarantine::RequestKey& aRequest);
+  /// @brief This host hears from no other host: reads the record log at once.
+  void OnIsolated() { m_topic->RestartRead(); }
   /// @brief The crash board has changed.
-  void OnChange();
-  /// @brief Records that the request is sent once more though it is kept away.
-  /// @param aDone called once; whether this host may send it
-  void ClaimTry(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
-  /// @brief Who records what other hosts saw.
-  void OnRank(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
+  void OnBoardChanged();
+  /// @brief Records that the quarantined request is sent once as a probe.
+  /// @param aDone called once, with whether this host may send it
+  void ClaimProbe(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
+  /// @brief Sets the function that decides which hosts record what other hosts saw.
+  void SetRankFunction(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
   {
     m_rankOf = std::move(aCall);
   }
@@ -54,10 +54,10 @@
   quarantine::RecordReconciler m_keeper;
   std::function<quarantine::WriterRole(const quarantine::RequestKey&)> m_rankOf;
   std::shared_ptr<store::TopicFollower> m_topic;
-  std::set<quarantine::RequestKey> m_claiming;
-  std::set<quarantine::RequestKey> m_logged; ///< the requests that were last told to be kept away
+  std::set<quarantine::RequestKey> m_pendingClaims;
+  std::set<quarantine::RequestKey> m_loggedRequests; ///< quarantined requests as last logged
   bool m_stopped = false;
-  net::TimerHandle m_tick;
+  net::TimerHandle m_recordTimer;
 };
 
 } // namespace ferrytray::relay
--- a/include/ferrytray/relay/store_watch.hpp
+++ b/include/ferrytray/relay/store_watch.hpp
@@ -9,8 +9,8 @@
 
 namespace ferrytray::relay {
 
-/// @brief Keeps the KV stores that the configuration in force names, and follows them if this host
-/// is to read from them itself.
+/// @brief Tracks the KV stores named in the configuration in force. Follows their contents if this
+/// host is one of the readers.
 class StoreWatch
 {
 public:
@@ -20,10 +20,10 @@
   {
   }
 
-  /// @brief A configuration came into force.
+  /// @brief Updates the list of stores from the configuration that came into force.
   void OnConfiguration();
-  /// @brief Whether this host reads from the stores itself.
-  void SetDirect(bool aDirect);
+  /// @brief Sets whether this host reads from the stores itself.
+  void SetReader(bool aIsReader);
   void Stop();
 
 private:
@@ -31,7 +31,7 @@
 
   RelayCore& m_core;
   cache::StoreFeed& m_feed;
-  bool m_direct = false;
+  bool m_isReader = false;
   std::map<std::string, std::shared_ptr<cache::StoreFollower>> m_followers; ///< by address
 };
 
--- a/src/ferrytray/relay/exchange_admission_test.cpp
+++ b/src/ferrytray/relay/exchange_admission_test.cpp
@@ -1,4 +1,4 @@
-// What is sent and what is refused when engines are full or out of reach.
+// Admission and refusal when engines are full or unreachable.
 #include <vector> // for vector
 
 #include "tests/support/exchange_fixture.hpp" // for ExchangeFixture
@@ -13,28 +13,28 @@
 
 TEST_GROUP_BASE(ExchangeAdmission, support::ExchangeFixture){};
 
-// Load: a zone is cut off, and a quarter of all sends end without a connection. Their repeats must
-// not use up the budget, nor be refused when it is spent.
-TEST(ExchangeAdmission, WhatReachedNobodyIsSentElsewhereThoughTheBudgetOfRepeatsIsSpent)
+// A partitioned zone makes a quarter of all sends fail to connect. Retrying them must neither
+// consume the retry budget nor be refused when the budget is exhausted.
+TEST(ExchangeAdmission, UnsentAttemptIsRetriedDespiteExhaustedRetryBudget)
 {
-  while (m_core.m_retries.TryRetry("s", base::MonotonicNow())) {
+  while (m_core.m_retryWindow.TryRetry("s", base::MonotonicNow())) {
   }
   const auto reply = Ask("/once/x");
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(2, m_client.m_calls.size());
   m_client.Head(503, { { "not-run", "1" } });
-  m_client.End(WireEnd::Complete); // arrived: its repeat would be one of the budget
+  m_client.End(WireEnd::Complete); // arrived, so a retry would need the budget
   LONGS_EQUAL(2, m_client.m_calls.size());
   LONGS_EQUAL(503, reply->m_status);
 }
 
-TEST(ExchangeAdmission, ALongPromptIsRefusedAtOnceWhenItsEnginesMemoryIsTaken)
+TEST(ExchangeAdmission, RefusesLongPromptWhenEngineMemoryIsFull)
 {
   const auto taken = static_cast<std::uint16_t>(kEngineMemory / routing::kTokensPerWork);
-  m_core.m_otherLoads.OnReport("other",
-                               peers::LoadScope::Own,
-                               { { peers::TagOf("a"), taken }, { peers::TagOf("b"), taken } },
-                               base::MonotonicNow());
+  m_core.m_peerLoads.OnReport("other",
+                              peers::LoadScope::Own,
+                              { { peers::TagOf("a"), taken }, { peers::TagOf("b"), taken } },
+                              base::MonotonicNow());
   const auto refused = Ask("/stream/x", "k", "long");
   LONGS_EQUAL(503, refused->m_status);
   STRCMP_EQUAL("not_run", refused->Header("run").c_str());
@@ -44,7 +44,7 @@
   LONGS_EQUAL(1, m_client.m_calls.size());
 }
 
-TEST(ExchangeAdmission, OfEqualPriorityShortPromptsRankBeforeLongOnes)
+TEST(ExchangeAdmission, ShortPromptsRankBeforeLongOnesOfEqualPriority)
 {
   Ask("/stream/x", "k", "m");
   STRCMP_EQUAL("0", Sent("rank").c_str());
@@ -54,9 +54,9 @@
   STRCMP_EQUAL("", Sent("rank").c_str());
 }
 
-// Load: more long prompts come at once than the engines that are left can hold. Those that are sent
-// fit; the others are refused without having cost anything.
-TEST(ExchangeAdmission, ABurstOfLongPromptsIsSentAsFarAsMemoryGoes)
+// A burst of long prompts exceeds the memory of the remaining engines. Those that fit are sent; the
+// others are refused before any send.
+TEST(ExchangeAdmission, LongPromptBurstIsLimitedByEngineMemory)
 {
   constexpr int kBurst = 40;
   int refused = 0;
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -1,4 +1,4 @@
-// Requests under which endpoints broke off, as one exchange deals with them.
+// How an exchange treats requests that crash endpoints.
 #include "ferrytray/peers/replacement_table.hpp" // for KeyOf
 #include "tests/support/exchange_fixture.hpp"    // for ExchangeFixture
 
@@ -11,9 +11,9 @@
 
 TEST_GROUP_BASE(ExchangeQuarantine, support::ExchangeFixture){};
 
-// Seen: one request ended an engine after the other; it came again as another request each time,
-// and each was sent on. An exchange knew its own sends only.
-TEST(ExchangeQuarantine, ARequestUnderWhichThreeEndpointsBrokeOffIsNotSentAnyMore)
+// One request crashed several endpoints in turn: it came back as a new request each time and was
+// sent again, because an exchange knew only its own sends.
+TEST(ExchangeQuarantine, RequestIsQuarantinedAfterThreeEndpointCrashes)
 {
   for (const char* name : { "c", "d", "e", "f" }) {
     m_core.m_directory.Upsert(EndpointOf(name), base::MonotonicNow());
@@ -28,13 +28,13 @@
   LONGS_EQUAL(503, reply->m_status);
   STRCMP_EQUAL("not_run", reply->Header("run").c_str());
   STRCMP_EQUAL("yes", reply->Header("come-back").c_str());
-  // Others are served: another body, another path.
+  // Requests with another body or path are served.
   Ask("/once/x", "k", "", "good");
   Ask("/again/x", "k", "", "bad");
   LONGS_EQUAL(sent + 2, m_client.m_calls.size());
 }
 
-TEST(ExchangeQuarantine, ARequestThatIsKnownToEndEndpointsIsNotRepeatedByTheHostItself)
+TEST(ExchangeQuarantine, QuarantinedRequestIsNotRetried)
 {
   const base::TimePoint now = base::MonotonicNow();
   const auto reply = Ask("/again/x", "k", "", "bad");
@@ -46,15 +46,15 @@
   LONGS_EQUAL(502, reply->m_status);
 }
 
-TEST(ExchangeQuarantine, SilenceAndLeavingEndpointsAndTheEndpointsOwnAnswersBlameNoRequest)
+TEST(ExchangeQuarantine, TimeoutsErrorRepliesAndLeavingEndpointsAreNotCrashes)
 {
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   Ask("/once/x", "k", "", "b");
-  net::ClientOutcome silence;
-  silence.m_end = WireEnd::NoReply;
-  silence.m_timedOut = true;
+  net::ClientOutcome timeout;
+  timeout.m_end = WireEnd::NoReply;
+  timeout.m_timedOut = true;
   const auto events = m_client.m_calls.back().m_events;
-  events.m_onEnd(silence);
+  events.m_onEnd(timeout);
   Ask("/once/x", "k", "", "b");
   m_client.Head(500, {});
   m_client.End(WireEnd::Complete);
@@ -68,7 +68,7 @@
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
 
-TEST(ExchangeQuarantine, AWholeAnswerClearsARequestAndAnEndpointThatAnswersHasNotEnded)
+TEST(ExchangeQuarantine, CompleteReplyClearsRequestAndEndpointSuspicion)
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
@@ -83,41 +83,41 @@
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
 
-TEST(ExchangeQuarantine, UntilItIsKnownWhichRequestsEndEndpointsNothingIsSent)
+TEST(ExchangeQuarantine, NothingIsSentBeforeQuarantineIsLoaded)
 {
   m_core.m_crashesLoaded = false;
   LONGS_EQUAL(503, Ask("/once/x")->m_status);
   LONGS_EQUAL(0, m_client.m_calls.size());
 }
 
-TEST(ExchangeQuarantine, ARequestThatIsKeptAwayIsSentOnceMoreIfAllHostsAgree)
+TEST(ExchangeQuarantine, QuarantinedRequestIsProbedOnceWhenClaimIsGranted)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
     m_core.m_crashes.OnConnectionBroken(key, end, before, before);
   }
-  bool may = false;
-  m_core.m_claimTry = [&](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
-    aDone(may);
+  bool granted = false;
+  m_core.m_claimProbe = [&](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+    aDone(granted);
   };
   LONGS_EQUAL(503, Ask("/again/x", "k", "", "b")->m_status);
   LONGS_EQUAL(0, m_client.m_calls.size());
-  may = true;
+  granted = true;
   Ask("/again/x", "k", "", "b");
-  m_client.End(WireEnd::NoReply); // it ends this one, too: the host does not repeat it
+  m_client.End(WireEnd::NoReply); // the probe crashes this endpoint too; the host does not retry it
   LONGS_EQUAL(1, m_client.m_calls.size());
   CHECK(m_core.m_crashes.IsQuarantined(key));
 }
 
-TEST(ExchangeQuarantine, AWholeAnswerToOneThatWasSentOnceMoreClearsAll)
+TEST(ExchangeQuarantine, SuccessfulProbeEndsQuarantine)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
     m_core.m_crashes.OnConnectionBroken(key, end, before, before);
   }
-  m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+  m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
   const auto reply = Ask("/again/x", "k", "", "b");
@@ -127,11 +127,11 @@
   CHECK_FALSE(m_core.m_crashes.IsQuarantined(key));
 }
 
-// Seen: after all hosts had been killed, a request that harms nobody stayed in quarantine at all of
-// them. It is asked often, so it was sent to endpoints that other requests had ended before and
-// whose addresses closed each connection at once; its one further send met one of these, too, and
-// broke off within 2 ms. Proved by the hosts' logs of that run of real processes.
-TEST(ExchangeQuarantine, AnEndpointThatHadEndedBeforeItWasSentBlamesNoRequest)
+// After a crash of all hosts, a harmless request stayed quarantined on every host. It is frequent,
+// so it was sent to endpoints that other requests had crashed before and whose addresses closed
+// each connection at once. Its single probe also went to such an endpoint and broke off within 2
+// ms. Observed in the host logs of a run with real processes.
+TEST(ExchangeQuarantine, BrokenSendToCrashedEndpointIsNotAttributedToRequest)
 {
   const base::TimePoint before = base::MonotonicNow() - 1s;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
@@ -143,12 +143,12 @@
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
 
-TEST(ExchangeQuarantine, WhatIsSentOnceMoreGoesToAnEndpointThatHasNotEnded)
+TEST(ExchangeQuarantine, ProbeAvoidsCrashedEndpoints)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
   m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), before, before);
-  m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+  m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
   for (const char* body : { "b", "c", "d", "e", "f", "g" }) {
@@ -163,14 +163,14 @@
   }
 }
 
-TEST(ExchangeQuarantine, WhatIsSentOnceMoreWaitsForAnEndpointThatHasJustAnswered)
+TEST(ExchangeQuarantine, ProbeWaitsForEndpointWithRecentReply)
 {
   const base::TimePoint before = base::MonotonicNow() - 6s;
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
     m_core.m_crashes.OnConnectionBroken(key, end, before, before);
   }
-  m_core.m_claimTry = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
+  m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
   LONGS_EQUAL(503, Ask("/once/x", "k", "", "b")->m_status);
@@ -184,23 +184,24 @@
   STRCMP_EQUAL(answered.c_str(), Sent("to").c_str());
 }
 
-// Each host found out by a request of its own that an endpoint had ended; what may not run twice
-// then failed. The ends that hosts tell each other for the quarantine say so, too.
-TEST(ExchangeQuarantine, AnEndpointThatBrokeOffForAnotherHostIsAvoidedForAWhile)
+// Each host used to detect a crashed endpoint only through a request of its own, which then failed
+// if it was not repeatable. The crash notices that hosts exchange for the quarantine report it as
+// well.
+TEST(ExchangeQuarantine, EndpointCrashReportedByPeerIsAvoided)
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
-  const quarantine::CrashNotice told{
+  const quarantine::CrashNotice notice{
     quarantine::NoticeKind::ConnectionBroken, other, peers::KeyOf("a"), 1
   };
-  m_core.m_crashes.OnNotice(told, now);
+  m_core.m_crashes.OnNotice(notice, now);
   for (int i = 0; i < 20; ++i) {
     Ask("/once/x", "k", i % 2 == 0 ? "m" : "", "b" + std::to_string(i));
     STRCMP_EQUAL("b", Sent("to").c_str());
   }
 }
 
-TEST(ExchangeQuarantine, AnEndpointThatBrokeOffLongAgoIsUsed)
+TEST(ExchangeQuarantine, EndpointIsUsedAgainAfterCrashExpires)
 {
   const base::TimePoint before = base::MonotonicNow() - 1min;
   const quarantine::RequestKey other = quarantine::KeyOf({ "lab", "", "h", "/once/x", "bad" });
--- a/src/ferrytray/relay/quarantine_feed.cpp
+++ b/src/ferrytray/relay/quarantine_feed.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Between two looks for what is to be recorded; what this host saw itself is recorded at once.
-constexpr base::Duration kRecordEvery = std::chrono::milliseconds(500);
+/// Interval of checks for changes to record. Changes made by this host are recorded at once.
+constexpr base::Duration kRecordInterval = std::chrono::milliseconds(500);
 
 void LogChange(const quarantine::RequestKey& aRequest, const char* aOutcome)
 {
@@ -35,8 +35,8 @@
   follow.m_wait = aOptions.m_quarantineWait;
   follow.m_shortWait = aOptions.m_quarantineWait;
   follow.m_pause = {};
-  follow.m_replyTimeout = aOptions.m_quarantinePatience;
-  follow.m_maxUpdateAge = aOptions.m_quarantineNewsFresh;
+  follow.m_replyTimeout = aOptions.m_quarantineGrace;
+  follow.m_maxUpdateAge = aOptions.m_quarantinePeerMaxAge;
   store::FollowEvents events;
   events.m_onRecord = [this](const store::Record& aRecord) {
     OnRecord(aRecord);
@@ -62,23 +62,23 @@
 
 void QuarantineFeed::Start()
 {
-  m_tick = m_core.m_loop.Every(kRecordEvery, [this] { OnChange(); });
+  m_recordTimer = m_core.m_loop.Every(kRecordInterval, [this] { OnBoardChanged(); });
 }
 
 void QuarantineFeed::Stop()
 {
   m_stopped = true;
-  m_tick.reset();
+  m_recordTimer.reset();
   m_topic->Stop();
 }
 
-void QuarantineFeed::OnOwn(const quarantine::RequestKey& aRequest)
+void QuarantineFeed::OnLocalChange(const quarantine::RequestKey& aRequest)
 {
   m_keeper.OnLocalObservation(aRequest);
-  OnChange();
+  OnBoardChanged();
 }
 
-void QuarantineFeed::OnChange()
+void QuarantineFeed::OnBoardChanged()
 {
   LogChanges();
   if (m_stopped || !m_core.m_crashesLoaded) {
@@ -107,30 +107,31 @@
                     });
 }
 
-void QuarantineFeed::ClaimTry(const quarantine::RequestKey& aRequest,
-                              std::function<void(bool)> aDone)
+void QuarantineFeed::ClaimProbe(const quarantine::RequestKey& aRequest,
+                                std::function<void(bool)> aDone)
 {
   std::optional<quarantine::Suspicion> known = m_core.m_crashes.Find(aRequest);
-  if (m_stopped || !known || !m_claiming.insert(aRequest).second) {
+  if (m_stopped || !known || !m_pendingClaims.insert(aRequest).second) {
     aDone(false);
     return;
   }
-  // The record comes before the send: were all hosts killed after it, none may try again.
+  // Recorded before the send, so that no host probes again even if all hosts crash after it.
   known->m_probed = true;
   m_log.AppendKeyed(
     m_topicName,
     base::ToHex(aRequest),
     peers::Encode(*known),
     [this, aRequest, done = std::move(aDone)](const base::Result<store::AppendResult>& aResult) {
-      m_claiming.erase(aRequest);
-      // The record may have been read back before this answer came, so it is not asked whether
-      // somebody tried meanwhile: only the first host by rank claims, two where hosts disagree.
-      const bool may = aResult && m_core.m_crashes.IsQuarantined(aRequest) && !m_stopped;
-      if (may) {
+      m_pendingClaims.erase(aRequest);
+      // The topic may return this record before the append is acknowledged, so a set m_tried flag
+      // does not mean that another host probed. Only the first host by rank claims, or two if hosts
+      // disagree.
+      const bool granted = aResult && m_core.m_crashes.IsQuarantined(aRequest) && !m_stopped;
+      if (granted) {
         m_core.m_crashes.OnProbeStarted(aRequest, base::MonotonicNow());
         LogChange(aRequest, "tried");
       }
-      done(may);
+      done(granted);
     });
 }
 
@@ -139,7 +140,9 @@
   const std::optional<quarantine::RequestKey> request = base::DigestFromHex(aRecord.m_key);
   if (!request) {
     m_core.m_unreadable.Note(
-      aRecord, base::Fail(base::ErrorCode::PlatformMalformed, "the key names no request").value());
+      aRecord,
+      base::Fail(base::ErrorCode::PlatformMalformed, "the record key is not a request key")
+        .value());
     return;
   }
   if (aRecord.m_removed) {
@@ -176,21 +179,21 @@
   for (const quarantine::RequestKey& request : m_core.m_crashes.QuarantinedRequests()) {
     now.insert(request);
   }
-  if (now == m_logged) {
+  if (now == m_loggedRequests) {
     return;
   }
   for (const quarantine::RequestKey& request : now) {
-    if (!m_logged.contains(request)) {
+    if (!m_loggedRequests.contains(request)) {
       LogChange(request, "begun");
     }
   }
-  for (const quarantine::RequestKey& request : m_logged) {
+  for (const quarantine::RequestKey& request : m_loggedRequests) {
     if (!now.contains(request)) {
       LogChange(request, "ended");
     }
   }
-  m_logged = std::move(now);
-  m_core.m_metrics.Set("quarantined_requests", static_cast<double>(m_logged.size()));
+  m_loggedRequests = std::move(now);
+  m_core.m_metrics.Set("quarantined_requests", static_cast<double>(m_loggedRequests.size()));
 }
 
 } // namespace ferrytray::relay
--- a/src/ferrytray/relay/upkeep_duty.cpp
+++ b/src/ferrytray/relay/upkeep_duty.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Looking through all stores costs more than the other duties' checks.
-constexpr base::Duration kLookEvery = std::chrono::seconds(1);
+// Scanning all stores costs more than the other duties' checks.
+constexpr base::Duration kPlanInterval = std::chrono::seconds(1);
 
 std::map<std::string, std::uint32_t> OldestWeights(const fleet::Directory& aDirectory)
 {
@@ -28,17 +28,17 @@
 
 bool UpkeepDuty::Pending(base::TimePoint aNow)
 {
-  // Looked at again though something is due: another host may have done it meanwhile.
-  if (aNow >= m_lookedAt + kLookEvery) {
-    m_lookedAt = aNow;
-    m_due = m_upkeep.Plan(m_core.m_stores, OldestWeights(m_core.m_directory), aNow);
+  // Planned again even if frees are pending: another host may have done them meanwhile.
+  if (aNow >= m_plannedAt + kPlanInterval) {
+    m_plannedAt = aNow;
+    m_pendingFrees = m_upkeep.Plan(m_core.m_stores, OldestWeights(m_core.m_directory), aNow);
   }
-  return !m_due.empty();
+  return !m_pendingFrees.empty();
 }
 
 void UpkeepDuty::Act(base::TimePoint aNow)
 {
-  for (const cache::FreeParts& parts : std::exchange(m_due, {})) {
+  for (const cache::FreeParts& parts : std::exchange(m_pendingFrees, {})) {
     m_upkeep.OnAsked(parts.m_store, aNow);
     m_freer.Free(parts, [this, parts](bool aDone) {
       const auto store = m_core.m_stores.find(parts.m_store);
@@ -48,7 +48,7 @@
       telemetry::LogLine("parts_freed")
         .Add("store", parts.m_store)
         .Add("parts", parts.m_parts.size())
-        .Add("why", "no engine runs their weights")
+        .Add("why", "no engine runs the weights of these parts")
         .Add("outcome", aDone ? "done" : "failed");
     });
   }
