--- a/include/ferrytray/peers/peer_exchange.hpp
+++ b/include/ferrytray/peers/peer_exchange.hpp
@@ -39,7 +39,7 @@
   base::Duration m_requestTimeout = std::chrono::milliseconds(700);
   base::Duration m_connectTimeout = std::chrono::milliseconds(300);
   /// A host that others poll stays a reader until it has not been polled for this long.
-  base::Duration m_readFor = std::chrono::seconds(4);
+  base::Duration m_readerHoldTime = std::chrono::seconds(4);
   /// From the registration of this host to the next read of the hosts. Hosts that start together
   /// register within some hundred milliseconds of each other, and the ones with most capacity must
   /// be known by then; every read is charged.
--- a/src/ferrytray/fleet/directory.cpp
+++ b/src/ferrytray/fleet/directory.cpp
@@ -39,8 +39,9 @@
     const bool isNewer = version > proven;
     proven = std::max(proven, version);
     // Entries lag behind: one without a newer version does not override a later guess.
-    const auto previous = assumed.find(model);
-    version = isNewer || previous == assumed.end() ? proven : std::max(proven, previous->second);
+    const auto assumption = assumed.find(model);
+    version =
+      isNewer || assumption == assumed.end() ? proven : std::max(proven, assumption->second);
   }
   entry.m_removeAt.reset();
 }
@@ -50,12 +51,12 @@
   std::string& listedIncarnation = m_incarnationByAddress[aNew.m_address];
   const auto other = m_entries.find(listedIncarnation);
   if (other != m_entries.end()) {
-    const bool listedBefore = other->second.m_listedSince + m_options.m_replacementDelay <= aNow;
+    const bool listedEarlier = other->second.m_listedSince + m_options.m_replacementDelay <= aNow;
     const bool sameService = other->second.m_endpoint.m_service == aNew.m_service;
     if (!sameService) {
       return;
     }
-    if (listedBefore) {
+    if (listedEarlier) {
       MarkGone(listedIncarnation);
     }
   }
--- a/src/ferrytray/peers/peer_exchange.cpp
+++ b/src/ferrytray/peers/peer_exchange.cpp
@@ -177,7 +177,7 @@
     return; // no other host is known yet
   }
   const std::optional<Peer> source = m_roster->Source(now);
-  const bool polled = m_lastPolledAt && now < *m_lastPolledAt + m_options.m_readFor;
+  const bool polled = m_lastPolledAt && now < *m_lastPolledAt + m_options.m_readerHoldTime;
   if (source) {
     SetReader(polled, polled ? "polled by other hosts" : "another host is the reader");
   } else {
--- a/src/ferrytray/store/topic_follower.cpp
+++ b/src/ferrytray/store/topic_follower.cpp
@@ -243,10 +243,10 @@
                              base::TimePoint aAskedAt,
                              base::TimePoint aNow) const
 {
-  const bool fresh = aNow < aAskedAt - aUpdate.m_age + m_options.m_maxUpdateAge;
+  const bool recent = aNow < aAskedAt - aUpdate.m_age + m_options.m_maxUpdateAge;
   const bool gap = aUpdate.m_from > m_next;
   const bool fits = aUpdate.m_isSnapshot || (m_loaded && !gap);
-  return fits && !aUpdate.m_unavailable && fresh;
+  return fits && !aUpdate.m_unavailable && recent;
 }
 
 void TopicFollower::OnUpdate(const TopicUpdate& aUpdate, base::TimePoint aAskedAt)
@@ -261,9 +261,9 @@
   ++m_readNumber;
   m_reading = false;
   m_relayed = true;
-  const bool cameBack = m_relayOutages && *m_relayOutages != aUpdate.m_outages;
+  const bool recovered = m_relayOutages && *m_relayOutages != aUpdate.m_outages;
   m_relayOutages = aUpdate.m_outages;
-  OnContact(contact, std::exchange(m_unreachable, false) || cameBack);
+  OnContact(contact, std::exchange(m_unreachable, false) || recovered);
   if (aUpdate.m_isSnapshot && !m_loaded) {
     DeliverSnapshot(aUpdate.m_records, aUpdate.m_end);
   }
--- a/src/ferrytray/store/topic_update_test.cpp
+++ b/src/ferrytray/store/topic_update_test.cpp
@@ -56,9 +56,9 @@
     m_follower->Stop();
   }
 
-  void Receive(const store::TopicUpdate& aNews)
+  void Receive(const store::TopicUpdate& aUpdate)
   {
-    m_follower->OnUpdate(aNews, base::MonotonicNow());
+    m_follower->OnUpdate(aUpdate, base::MonotonicNow());
   }
 };
 
@@ -84,9 +84,9 @@
 TEST(TopicUpdate, ReadsTheLogIfTheOtherHostIsUnavailable)
 {
   Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
-  store::TopicUpdate away = MakeUpdate(6);
-  away.m_unavailable = true;
-  Receive(away);
+  store::TopicUpdate unavailable = MakeUpdate(6);
+  unavailable.m_unavailable = true;
+  Receive(unavailable);
   LONGS_EQUAL(1, m_log.m_readFrom.size());
 }
 
