--- a/include/ferrytray/gate/caller_answer.hpp
+++ b/include/ferrytray/gate/caller_answer.hpp
@@ -22,11 +22,11 @@
   /// @brief More of the answer's text.
   void Deliver(const std::string& aText);
   /// @brief The end of the answer. @return what a repeat of the request would be sent
-  once::KeptAnswer Complete(const Usage& aUsage);
+  once::StoredAnswer Complete(const Usage& aUsage);
   /// @brief The end without an answer.
   void Fail(const base::Failure& aFailure);
   /// @brief An answer that was kept.
-  void Replay(const once::KeptAnswer& aAnswer);
+  void Replay(const once::StoredAnswer& aAnswer);
 
   void OnClosed(std::function<void()> aCall) { m_reply->OnClosed(std::move(aCall)); }
   [[nodiscard]] bool HasText() const { return !m_text.empty(); }
--- a/include/ferrytray/gate/claims_link.hpp
+++ b/include/ferrytray/gate/claims_link.hpp
@@ -30,11 +30,11 @@
   /// @brief The request ended; its answer is kept if there is one.
   void Done(const base::Digest128& aClaim,
             const base::Digest128& aKey,
-            std::optional<once::KeptAnswer> aAnswer);
+            std::optional<once::StoredAnswer> aAnswer);
   /// @brief The request certainly ran nothing.
   void NotRun(const base::Digest128& aClaim);
 
-  [[nodiscard]] std::optional<once::KeptAnswer> KeptAnswer(const base::Digest128& aKey) const;
+  [[nodiscard]] std::optional<once::StoredAnswer> StoredAnswer(const base::Digest128& aKey) const;
   /// @brief Whether claims can be settled now: the log was read to its end and answers.
   [[nodiscard]] bool Usable() const { return m_follower.CaughtUp() && m_follower.Reachable(); }
   [[nodiscard]] std::size_t HeldKeys() const { return m_coordinator.Table().Size(); }
--- a/include/ferrytray/gate/once_guard.hpp
+++ b/include/ferrytray/gate/once_guard.hpp
@@ -18,7 +18,7 @@
 /// @brief Send the answer that was kept.
 struct ReplayAnswer
 {
-  once::KeptAnswer m_answer;
+  once::StoredAnswer m_answer;
 };
 /// @brief Pass the request on to another gate, a known member.
 struct PassOn
@@ -41,7 +41,7 @@
   /// @brief Decides what to do with the request; calls once, perhaps later.
   void Begin(std::function<void(const OnceVerdict&)> aOnVerdict);
   /// @brief The request ended with an answer.
-  void Finish(const once::KeptAnswer& aAnswer);
+  void Finish(const once::StoredAnswer& aAnswer);
   /// @brief The request ended without one.
   void Fail(base::RunState aRun);
   /// @brief Whether the caller may come back for the answer, so that it is worth finishing.
@@ -52,7 +52,7 @@
   void BeginTicket();
   void BeginClaim();
   void OnClaim(const once::ClaimAction& aAction);
-  [[nodiscard]] OnceVerdict VerdictFor(const once::RedeemElsewhere& aElsewhere) const;
+  [[nodiscard]] OnceVerdict VerdictFor(const once::RedeemForward& aElsewhere) const;
   [[nodiscard]] OnceVerdict VerdictForHolder(const once::LiveClaim& aHolder) const;
   [[nodiscard]] OnceVerdict PassOnTo(const std::string& aIncarnation) const;
 
--- a/include/ferrytray/once/answer_store.hpp
+++ b/include/ferrytray/once/answer_store.hpp
@@ -20,9 +20,9 @@
   }
 
   /// @brief Keeps an answer under its key; one larger than the budget is not kept.
-  void Keep(const base::Digest128& aKey, KeptAnswer aAnswer);
+  void Put(const base::Digest128& aKey, StoredAnswer aAnswer);
   /// @brief The kept answer, if it is still there.
-  [[nodiscard]] std::optional<KeptAnswer> Find(const base::Digest128& aKey) const;
+  [[nodiscard]] std::optional<StoredAnswer> Find(const base::Digest128& aKey) const;
   [[nodiscard]] std::size_t Bytes() const { return m_bytes; }
 
 private:
@@ -31,7 +31,7 @@
   std::size_t m_maxBytes;
   std::size_t m_bytes = 0;
   std::deque<base::Digest128> m_order;
-  std::unordered_map<base::Digest128, KeptAnswer, base::DigestHash> m_answers;
+  std::unordered_map<base::Digest128, StoredAnswer, base::DigestHash> m_answers;
 };
 
 } // namespace ferrytray::once
--- a/include/ferrytray/once/claim_coordinator.hpp
+++ b/include/ferrytray/once/claim_coordinator.hpp
@@ -72,7 +72,7 @@
   /// @brief The append call returned or was lost; what it wrote is settled by reading.
   ClaimActions OnAppendEnded(bool aReplied);
   /// @brief The next record of the stream was read.
-  ClaimActions OnRecord(const LogPosition& aAt, std::span<const ClaimEntry> aEntries);
+  ClaimActions OnRecord(const LogPosition& aPosition, std::span<const ClaimEntry> aEntries);
   /// @brief Gives up claims that the log has not settled.
   ClaimActions OnTick(base::TimePoint aNow);
 
@@ -82,12 +82,12 @@
   struct Pending
   {
     Claim m_claim;
-    base::TimePoint m_giveUpAt;
+    base::TimePoint m_deadline;
   };
 
-  ClaimActions MaybeAppend();
+  ClaimActions AppendIfIdle();
   void QueueRelease(const base::Digest128& aClaim);
-  void Settle(const Claim& aSeen, ClaimActions& aActions);
+  void Settle(const Claim& aReadBack, ClaimActions& aActions);
 
   ClaimOptions m_options;
   ClaimTable m_table;
--- a/include/ferrytray/once/claim_entry.hpp
+++ b/include/ferrytray/once/claim_entry.hpp
@@ -19,7 +19,7 @@
   base::Digest128 m_id;      ///< random; names this claim alone
   base::Digest128 m_key;     ///< client account and Idempotency-Key
   base::Digest128 m_request; ///< the request's content
-  std::string m_holder;      ///< the gate incarnation that asks
+  std::string m_claimant;    ///< the gate incarnation that asks
 };
 
 /// @brief The claim with this id has run nothing and never will.
--- a/include/ferrytray/once/claim_table.hpp
+++ b/include/ferrytray/once/claim_table.hpp
@@ -24,7 +24,7 @@
 struct LiveClaim
 {
   Claim m_claim;
-  LogPosition m_at;
+  LogPosition m_position;
   bool m_won = false; ///< it came when its key had no live claim
   bool m_done = false;
 };
@@ -46,32 +46,32 @@
   }
 
   /// @brief Applies one record. Records must come in offset order.
-  void Apply(const LogPosition& aAt, std::span<const ClaimEntry> aEntries);
+  void Apply(const LogPosition& aPosition, std::span<const ClaimEntry> aEntries);
 
   /// @brief The oldest live claim of a key, if any.
   [[nodiscard]] std::optional<LiveClaim> Find(const base::Digest128& aKey) const;
   /// @brief Whether this claim is live and won.
-  [[nodiscard]] bool Won(const Claim& aClaim) const;
+  [[nodiscard]] bool HasWon(const Claim& aClaim) const;
   [[nodiscard]] std::size_t Size() const { return m_keyOfClaim.size(); }
 
 private:
-  struct Aged
+  struct Expiry
   {
-    base::Duration m_expires;
+    base::Duration m_expiresAt;
     base::Digest128 m_id;
   };
 
   void Expire(base::Duration aTime);
-  void Drop(const base::Digest128& aId);
-  void ApplyEntry(const LogPosition& aAt, const Claim& aClaim);
-  void ApplyEntry(const LogPosition& aAt, const Release& aRelease);
-  void ApplyEntry(const LogPosition& aAt, const Done& aDone);
+  void Remove(const base::Digest128& aId);
+  void ApplyEntry(const LogPosition& aPosition, const Claim& aClaim);
+  void ApplyEntry(const LogPosition& aPosition, const Release& aRelease);
+  void ApplyEntry(const LogPosition& aPosition, const Done& aDone);
 
   base::Duration m_window;
-  std::unordered_map<base::Digest128, std::vector<LiveClaim>, base::DigestHash> m_live;
+  std::unordered_map<base::Digest128, std::vector<LiveClaim>, base::DigestHash> m_claimsByKey;
   std::unordered_map<base::Digest128, base::Digest128, base::DigestHash> m_keyOfClaim;
-  std::unordered_set<base::Digest128, base::DigestHash> m_void;
-  std::deque<Aged> m_byAge;
+  std::unordered_set<base::Digest128, base::DigestHash> m_releasedIds;
+  std::deque<Expiry> m_expiryQueue;
 };
 
 } // namespace ferrytray::once
--- a/include/ferrytray/once/stream_assembler.hpp
+++ b/include/ferrytray/once/stream_assembler.hpp
@@ -13,7 +13,7 @@
 using AttemptId = std::uint64_t;
 
 /// @brief A part of an answer.
-struct StreamPiece
+struct StreamChunk
 {
   AttemptId m_attempt = 0;
   std::uint64_t m_offset = 0; ///< bytes of the answer before this piece
@@ -27,9 +27,9 @@
 class StreamAssembler
 {
 public:
-  /// @param aMaxHeldBytes the most that may wait for a missing piece
-  explicit StreamAssembler(std::size_t aMaxHeldBytes)
-    : m_maxHeldBytes(aMaxHeldBytes)
+  /// @param aMaxBufferedBytes the most that may wait for a missing piece
+  explicit StreamAssembler(std::size_t aMaxBufferedBytes)
+    : m_maxBufferedBytes(aMaxBufferedBytes)
   {
   }
 
@@ -37,26 +37,26 @@
   /// @return false when text was delivered already
   bool Begin(AttemptId aAttempt);
   /// @brief Takes a piece and returns the text that can be delivered now, perhaps none.
-  std::string Accept(StreamPiece aPiece);
+  std::string Accept(StreamChunk aChunk);
 
   /// @brief Where a broken stream has to be resumed (bytes).
-  [[nodiscard]] std::uint64_t NextOffset() const { return m_next; }
+  [[nodiscard]] std::uint64_t NextOffset() const { return m_nextOffset; }
   /// @brief Whether every byte up to the last piece's end was delivered.
-  [[nodiscard]] bool IsComplete() const { return m_end && m_next == *m_end; }
+  [[nodiscard]] bool IsComplete() const { return m_endOffset && m_nextOffset == *m_endOffset; }
   /// @brief Whether pieces wait for one that is missing.
-  [[nodiscard]] bool HasGap() const { return !m_held.empty(); }
-  [[nodiscard]] std::uint64_t DroppedPieces() const { return m_dropped; }
+  [[nodiscard]] bool HasGap() const { return !m_buffered.empty(); }
+  [[nodiscard]] std::uint64_t DroppedChunks() const { return m_droppedChunks; }
 
 private:
-  std::string TakeReady();
+  std::string TakeInOrder();
 
-  std::size_t m_maxHeldBytes;
-  std::size_t m_heldBytes = 0;
+  std::size_t m_maxBufferedBytes;
+  std::size_t m_bufferedBytes = 0;
   AttemptId m_attempt = 0;
-  std::uint64_t m_next = 0;
-  std::uint64_t m_dropped = 0;
-  std::optional<std::uint64_t> m_end;
-  std::map<std::uint64_t, std::string> m_held;
+  std::uint64_t m_nextOffset = 0;
+  std::uint64_t m_droppedChunks = 0;
+  std::optional<std::uint64_t> m_endOffset;
+  std::map<std::uint64_t, std::string> m_buffered;
 };
 
 } // namespace ferrytray::once
--- a/include/ferrytray/once/ticket_table.hpp
+++ b/include/ferrytray/once/ticket_table.hpp
@@ -17,7 +17,7 @@
 namespace ferrytray::once {
 
 /// @brief A finished answer, kept for repeats.
-struct KeptAnswer
+struct StoredAnswer
 {
   int m_status = 200;
   std::string m_contentType;
@@ -39,26 +39,26 @@
   std::string m_account;
   TicketState m_state = TicketState::Issued;
   base::Digest128 m_request;
-  KeptAnswer m_answer;
-  base::Duration m_left{}; ///< until it expires
+  StoredAnswer m_answer;
+  base::Duration m_remainingLifetime{}; ///< until it expires
 };
 
-/// @brief Run the request now; Finish or GiveBack must follow.
+/// @brief Run the request now; Finish or CancelRedemption must follow.
 struct RedeemRun
 {
 };
 /// @brief The ticket lives at another incarnation.
-struct RedeemElsewhere
+struct RedeemForward
 {
   std::string m_incarnation;
 };
 /// @brief The request has finished; this is its answer.
 struct RedeemReplay
 {
-  KeptAnswer m_answer;
+  StoredAnswer m_answer;
 };
 
-using Redeemed = std::variant<RedeemRun, RedeemElsewhere, RedeemReplay, base::Failure>;
+using RedeemResult = std::variant<RedeemRun, RedeemForward, RedeemReplay, base::Failure>;
 
 struct TicketOptions
 {
@@ -88,25 +88,25 @@
                                   std::string_view aSecret,
                                   base::TimePoint aNow);
   /// @brief Redeems a ticket for a request.
-  Redeemed Redeem(std::string_view aTicket,
-                  const std::string& aAccount,
-                  const base::Digest128& aRequest,
-                  base::TimePoint aNow);
+  RedeemResult Redeem(std::string_view aTicket,
+                      const std::string& aAccount,
+                      const base::Digest128& aRequest,
+                      base::TimePoint aNow);
   /// @brief The request ended with an answer to keep.
-  void Finish(std::string_view aTicket, KeptAnswer aAnswer);
+  void Finish(std::string_view aTicket, StoredAnswer aAnswer);
   /// @brief The request may have run and has no answer.
-  void FinishUnknown(std::string_view aTicket);
+  void FinishWithoutAnswer(std::string_view aTicket);
   /// @brief The request certainly ran nothing; the ticket can be redeemed again.
-  void GiveBack(std::string_view aTicket);
+  void CancelRedemption(std::string_view aTicket);
 
   /// @brief Stops redeeming and issuing; must come before Export.
   void Freeze() { m_frozen = true; }
   /// @brief Every live ticket, for one named peer. A running one goes as Unknown.
   [[nodiscard]] std::vector<TicketRow> Export(base::TimePoint aNow) const;
   /// @brief Takes over another incarnation's tickets; a repeat changes nothing.
-  void Adopt(const std::string& aIncarnation,
-             std::span<const TicketRow> aRows,
-             base::TimePoint aNow);
+  void Import(const std::string& aIncarnation,
+              std::span<const TicketRow> aRows,
+              base::TimePoint aNow);
   /// @brief Incarnations whose tickets live here, this one first.
   [[nodiscard]] std::vector<std::string> Incarnations() const;
 
@@ -120,17 +120,17 @@
     std::string m_account;
     TicketState m_state = TicketState::Issued;
     base::Digest128 m_request;
-    KeptAnswer m_answer;
-    base::TimePoint m_expires;
+    StoredAnswer m_answer;
+    base::TimePoint m_expiresAt;
   };
 
-  [[nodiscard]] bool LivesHere(std::string_view aIncarnation) const;
+  [[nodiscard]] bool IsLocal(std::string_view aIncarnation) const;
   Entry* FindEntry(std::string_view aTicket);
 
   std::string m_incarnation;
   TicketOptions m_options;
   bool m_frozen = false;
-  std::vector<std::string> m_adopted;
+  std::vector<std::string> m_importedIncarnations;
   std::unordered_map<std::string, Entry> m_tickets;
   std::unordered_map<std::string, std::size_t> m_perAccount;
 };
--- a/src/ferrytray/gate/caller_answer.cpp
+++ b/src/ferrytray/gate/caller_answer.cpp
@@ -41,9 +41,9 @@
   }
 }
 
-once::KeptAnswer CallerAnswer::Complete(const Usage& aUsage)
+once::StoredAnswer CallerAnswer::Complete(const Usage& aUsage)
 {
-  once::KeptAnswer kept{ 200, kJson, "" };
+  once::StoredAnswer kept{ 200, kJson, "" };
   if (m_stream) {
     kept.m_contentType = kEventStream;
     kept.m_body = PieceEvent(m_shape, m_names, m_text) + LastEvents(m_shape, m_names, aUsage);
@@ -68,7 +68,7 @@
   SendFailure(*m_reply, aFailure, m_names.m_request);
 }
 
-void CallerAnswer::Replay(const once::KeptAnswer& aAnswer)
+void CallerAnswer::Replay(const once::StoredAnswer& aAnswer)
 {
   m_reply->Send(aAnswer.m_status,
                 { { "Content-Type", aAnswer.m_contentType },
--- a/src/ferrytray/gate/claims_link.cpp
+++ b/src/ferrytray/gate/claims_link.cpp
@@ -78,10 +78,10 @@
 
 void ClaimsLink::Done(const base::Digest128& aClaim,
                       const base::Digest128& aKey,
-                      std::optional<once::KeptAnswer> aAnswer)
+                      std::optional<once::StoredAnswer> aAnswer)
 {
   if (aAnswer) {
-    m_answers.Keep(aKey, std::move(*aAnswer));
+    m_answers.Put(aKey, std::move(*aAnswer));
   }
   Perform(m_coordinator.OnDone(aClaim));
 }
@@ -91,7 +91,7 @@
   Perform(m_coordinator.OnNotRun(aClaim));
 }
 
-std::optional<once::KeptAnswer> ClaimsLink::KeptAnswer(const base::Digest128& aKey) const
+std::optional<once::StoredAnswer> ClaimsLink::StoredAnswer(const base::Digest128& aKey) const
 {
   return m_answers.Find(aKey);
 }
--- a/src/ferrytray/gate/once_guard.cpp
+++ b/src/ferrytray/gate/once_guard.cpp
@@ -52,12 +52,12 @@
 
 void OnceGuard::BeginTicket()
 {
-  const once::Redeemed redeemed =
+  const once::RedeemResult redeemed =
     m_core.m_tickets.Redeem(*m_terms.m_ticket, m_account, m_content, base::MonotonicNow());
   if (std::holds_alternative<once::RedeemRun>(redeemed)) {
     m_redeemed = true;
     Tell(RunHere{});
-  } else if (const auto* elsewhere = std::get_if<once::RedeemElsewhere>(&redeemed)) {
+  } else if (const auto* elsewhere = std::get_if<once::RedeemForward>(&redeemed)) {
     Tell(VerdictFor(*elsewhere));
   } else if (const auto* replay = std::get_if<once::RedeemReplay>(&redeemed)) {
     Tell(ReplayAnswer{ replay->m_answer });
@@ -66,7 +66,7 @@
   }
 }
 
-OnceVerdict OnceGuard::VerdictFor(const once::RedeemElsewhere& aElsewhere) const
+OnceVerdict OnceGuard::VerdictFor(const once::RedeemForward& aElsewhere) const
 {
   return PassOnTo(aElsewhere.m_incarnation);
 }
@@ -118,10 +118,10 @@
                    RunState::NotRun,
                    "the key was used for another request");
   }
-  if (const auto kept = m_core.m_claims.KeptAnswer(m_key)) {
+  if (const auto kept = m_core.m_claims.StoredAnswer(m_key)) {
     return ReplayAnswer{ *kept };
   }
-  const bool here = aHolder.m_claim.m_holder == m_core.m_options.m_incarnation;
+  const bool here = aHolder.m_claim.m_claimant == m_core.m_options.m_incarnation;
   if (here && !aHolder.m_done) {
     return Refusal(ErrorCode::ClaimPending, RunState::Unknown, "the request is being run");
   }
@@ -130,7 +130,7 @@
                    RunState::Unknown,
                    "the request has ended and its answer is gone");
   }
-  const OnceVerdict passOn = PassOnTo(aHolder.m_claim.m_holder);
+  const OnceVerdict passOn = PassOnTo(aHolder.m_claim.m_claimant);
   if (std::holds_alternative<PassOn>(passOn)) {
     return passOn;
   }
@@ -138,7 +138,7 @@
     ErrorCode::ClaimOutcomeUnknown, RunState::Unknown, "the gate that ran the request is gone");
 }
 
-void OnceGuard::Finish(const once::KeptAnswer& aAnswer)
+void OnceGuard::Finish(const once::StoredAnswer& aAnswer)
 {
   if (m_redeemed) {
     m_core.m_tickets.Finish(*m_terms.m_ticket, aAnswer);
@@ -151,9 +151,9 @@
 {
   const bool notRun = aRun == RunState::NotRun;
   if (m_redeemed && notRun) {
-    m_core.m_tickets.GiveBack(*m_terms.m_ticket);
+    m_core.m_tickets.CancelRedemption(*m_terms.m_ticket);
   } else if (m_redeemed) {
-    m_core.m_tickets.FinishUnknown(*m_terms.m_ticket);
+    m_core.m_tickets.FinishWithoutAnswer(*m_terms.m_ticket);
   } else if (m_claim && notRun) {
     m_core.m_claims.NotRun(*m_claim);
   } else if (m_claim) {
--- a/src/ferrytray/gate/ticket_handover.cpp
+++ b/src/ferrytray/gate/ticket_handover.cpp
@@ -55,9 +55,9 @@
     return;
   }
   const std::string& from = aTable.m_incarnations.front();
-  m_core.m_tickets.Adopt(from, aTable.m_rows, base::MonotonicNow());
+  m_core.m_tickets.Import(from, aTable.m_rows, base::MonotonicNow());
   for (const std::string& incarnation : aTable.m_incarnations) {
-    m_core.m_tickets.Adopt(incarnation, {}, base::MonotonicNow());
+    m_core.m_tickets.Import(incarnation, {}, base::MonotonicNow());
   }
   telemetry::LogLine("tickets_taken").Add("from", from).Add("count", aTable.m_rows.size());
   m_core.m_keeper->ReportNow();
--- a/src/ferrytray/once/answer_store.cpp
+++ b/src/ferrytray/once/answer_store.cpp
@@ -4,7 +4,7 @@
 
 namespace ferrytray::once {
 
-void AnswerStore::Keep(const base::Digest128& aKey, KeptAnswer aAnswer)
+void AnswerStore::Put(const base::Digest128& aKey, StoredAnswer aAnswer)
 {
   const std::size_t size = aAnswer.m_body.size();
   if (size > m_maxBytes || m_answers.contains(aKey)) {
@@ -18,7 +18,7 @@
   m_answers.emplace(aKey, std::move(aAnswer));
 }
 
-std::optional<KeptAnswer> AnswerStore::Find(const base::Digest128& aKey) const
+std::optional<StoredAnswer> AnswerStore::Find(const base::Digest128& aKey) const
 {
   const auto found = m_answers.find(aKey);
   return found == m_answers.end() ? std::nullopt : std::optional(found->second);
--- a/src/ferrytray/once/claim_coordinator.cpp
+++ b/src/ferrytray/once/claim_coordinator.cpp
@@ -11,19 +11,19 @@
   }
   m_pending.emplace(aClaim.m_id, Pending{ aClaim, aNow + m_options.m_settleTimeout });
   m_queued.emplace_back(aClaim);
-  return MaybeAppend();
+  return AppendIfIdle();
 }
 
 ClaimActions ClaimCoordinator::OnDone(const base::Digest128& aClaim)
 {
   m_queued.emplace_back(Done{ aClaim });
-  return MaybeAppend();
+  return AppendIfIdle();
 }
 
 ClaimActions ClaimCoordinator::OnNotRun(const base::Digest128& aClaim)
 {
   QueueRelease(aClaim);
-  return MaybeAppend();
+  return AppendIfIdle();
 }
 
 void ClaimCoordinator::QueueRelease(const base::Digest128& aClaim)
@@ -41,44 +41,44 @@
     m_queued.insert(m_queued.begin(), sent.begin(), sent.end());
     return {};
   }
-  return MaybeAppend();
+  return AppendIfIdle();
 }
 
-ClaimActions ClaimCoordinator::OnRecord(const LogPosition& aAt,
+ClaimActions ClaimCoordinator::OnRecord(const LogPosition& aPosition,
                                         std::span<const ClaimEntry> aEntries)
 {
   ClaimActions actions;
   for (const ClaimEntry& entry : aEntries) {
-    m_table.Apply(aAt, { &entry, 1 });
+    m_table.Apply(aPosition, { &entry, 1 });
     if (const auto* claim = std::get_if<Claim>(&entry)) {
       Settle(*claim, actions);
     } else if (const auto* release = std::get_if<Release>(&entry)) {
       m_releases.erase(release->m_id);
     }
   }
-  for (ClaimAction& action : MaybeAppend()) {
+  for (ClaimAction& action : AppendIfIdle()) {
     actions.push_back(std::move(action));
   }
   return actions;
 }
 
-void ClaimCoordinator::Settle(const Claim& aSeen, ClaimActions& aActions)
+void ClaimCoordinator::Settle(const Claim& aReadBack, ClaimActions& aActions)
 {
-  const auto pending = m_pending.find(aSeen.m_id);
+  const auto pending = m_pending.find(aReadBack.m_id);
   if (pending == m_pending.end()) {
     return;
   }
   m_pending.erase(pending);
-  if (m_table.Won(aSeen)) {
-    aActions.emplace_back(ClaimWon{ aSeen.m_id });
+  if (m_table.HasWon(aReadBack)) {
+    aActions.emplace_back(ClaimWon{ aReadBack.m_id });
     return;
   }
-  QueueRelease(aSeen.m_id);
-  const auto holder = m_table.Find(aSeen.m_key);
-  if (holder && holder->m_claim.m_id != aSeen.m_id) {
-    aActions.emplace_back(ClaimLost{ aSeen.m_id, *holder });
+  QueueRelease(aReadBack.m_id);
+  const auto holder = m_table.Find(aReadBack.m_key);
+  if (holder && holder->m_claim.m_id != aReadBack.m_id) {
+    aActions.emplace_back(ClaimLost{ aReadBack.m_id, *holder });
   } else {
-    aActions.emplace_back(ClaimUnsettled{ aSeen.m_id });
+    aActions.emplace_back(ClaimUnsettled{ aReadBack.m_id });
   }
 }
 
@@ -86,7 +86,7 @@
 {
   ClaimActions actions;
   for (auto it = m_pending.begin(); it != m_pending.end();) {
-    if (aNow < it->second.m_giveUpAt) {
+    if (aNow < it->second.m_deadline) {
       ++it;
       continue;
     }
@@ -100,13 +100,13 @@
       m_queued.emplace_back(release);
     }
   }
-  for (ClaimAction& action : MaybeAppend()) {
+  for (ClaimAction& action : AppendIfIdle()) {
     actions.push_back(std::move(action));
   }
   return actions;
 }
 
-ClaimActions ClaimCoordinator::MaybeAppend()
+ClaimActions ClaimCoordinator::AppendIfIdle()
 {
   if (m_appending || m_queued.empty()) {
     return {};
--- a/src/ferrytray/once/claim_entry.cpp
+++ b/src/ferrytray/once/claim_entry.cpp
@@ -14,7 +14,7 @@
            { "id", base::ToHex(aClaim.m_id) },
            { "key", base::ToHex(aClaim.m_key) },
            { "req", base::ToHex(aClaim.m_request) },
-           { "by", aClaim.m_holder } };
+           { "by", aClaim.m_claimant } };
 }
 
 json ToJson(const Release& aRelease)
--- a/src/ferrytray/once/claim_table.cpp
+++ b/src/ferrytray/once/claim_table.cpp
@@ -6,37 +6,37 @@
 
 namespace {
 
-auto ById(const base::Digest128& aId)
+auto HasId(const base::Digest128& aId)
 {
   return [aId](const LiveClaim& aLive) { return aLive.m_claim.m_id == aId; };
 }
 
 } // namespace
 
-void ClaimTable::Apply(const LogPosition& aAt, std::span<const ClaimEntry> aEntries)
+void ClaimTable::Apply(const LogPosition& aPosition, std::span<const ClaimEntry> aEntries)
 {
-  Expire(aAt.m_time);
+  Expire(aPosition.m_time);
   for (const ClaimEntry& entry : aEntries) {
-    std::visit([&](const auto& aEntry) { ApplyEntry(aAt, aEntry); }, entry);
+    std::visit([&](const auto& aEntry) { ApplyEntry(aPosition, aEntry); }, entry);
   }
 }
 
-void ClaimTable::ApplyEntry(const LogPosition& aAt, const Claim& aClaim)
+void ClaimTable::ApplyEntry(const LogPosition& aPosition, const Claim& aClaim)
 {
-  if (m_void.contains(aClaim.m_id) || m_keyOfClaim.contains(aClaim.m_id)) {
+  if (m_releasedIds.contains(aClaim.m_id) || m_keyOfClaim.contains(aClaim.m_id)) {
     return;
   }
-  std::vector<LiveClaim>& live = m_live[aClaim.m_key];
-  live.push_back({ aClaim, aAt, live.empty(), false });
+  std::vector<LiveClaim>& live = m_claimsByKey[aClaim.m_key];
+  live.push_back({ aClaim, aPosition, live.empty(), false });
   m_keyOfClaim.emplace(aClaim.m_id, aClaim.m_key);
-  m_byAge.push_back({ aAt.m_time + m_window, aClaim.m_id });
+  m_expiryQueue.push_back({ aPosition.m_time + m_window, aClaim.m_id });
 }
 
-void ClaimTable::ApplyEntry(const LogPosition& aAt, const Release& aRelease)
+void ClaimTable::ApplyEntry(const LogPosition& aPosition, const Release& aRelease)
 {
-  Drop(aRelease.m_id);
-  if (m_void.insert(aRelease.m_id).second) {
-    m_byAge.push_back({ aAt.m_time + m_window, aRelease.m_id });
+  Remove(aRelease.m_id);
+  if (m_releasedIds.insert(aRelease.m_id).second) {
+    m_expiryQueue.push_back({ aPosition.m_time + m_window, aRelease.m_id });
   }
 }
 
@@ -46,49 +46,49 @@
   if (key == m_keyOfClaim.end()) {
     return;
   }
-  std::vector<LiveClaim>& live = m_live.at(key->second);
-  std::find_if(live.begin(), live.end(), ById(aDone.m_id))->m_done = true;
+  std::vector<LiveClaim>& live = m_claimsByKey.at(key->second);
+  std::find_if(live.begin(), live.end(), HasId(aDone.m_id))->m_done = true;
 }
 
 void ClaimTable::Expire(base::Duration aTime)
 {
-  while (!m_byAge.empty() && m_byAge.front().m_expires <= aTime) {
-    const base::Digest128 id = m_byAge.front().m_id;
-    m_byAge.pop_front();
+  while (!m_expiryQueue.empty() && m_expiryQueue.front().m_expiresAt <= aTime) {
+    const base::Digest128 id = m_expiryQueue.front().m_id;
+    m_expiryQueue.pop_front();
     // An id stands twice when it was claimed and released; the release decides.
-    m_void.erase(id);
-    Drop(id);
+    m_releasedIds.erase(id);
+    Remove(id);
   }
 }
 
-void ClaimTable::Drop(const base::Digest128& aId)
+void ClaimTable::Remove(const base::Digest128& aId)
 {
   const auto key = m_keyOfClaim.find(aId);
   if (key == m_keyOfClaim.end()) {
     return;
   }
-  std::vector<LiveClaim>& live = m_live.at(key->second);
-  std::erase_if(live, ById(aId));
+  std::vector<LiveClaim>& live = m_claimsByKey.at(key->second);
+  std::erase_if(live, HasId(aId));
   if (live.empty()) {
-    m_live.erase(key->second);
+    m_claimsByKey.erase(key->second);
   }
   m_keyOfClaim.erase(key);
 }
 
 std::optional<LiveClaim> ClaimTable::Find(const base::Digest128& aKey) const
 {
-  const auto found = m_live.find(aKey);
-  return found == m_live.end() ? std::nullopt : std::optional(found->second.front());
+  const auto found = m_claimsByKey.find(aKey);
+  return found == m_claimsByKey.end() ? std::nullopt : std::optional(found->second.front());
 }
 
-bool ClaimTable::Won(const Claim& aClaim) const
+bool ClaimTable::HasWon(const Claim& aClaim) const
 {
-  const auto found = m_live.find(aClaim.m_key);
-  if (found == m_live.end()) {
+  const auto found = m_claimsByKey.find(aClaim.m_key);
+  if (found == m_claimsByKey.end()) {
     return false;
   }
   const std::vector<LiveClaim>& live = found->second;
-  const auto mine = std::find_if(live.begin(), live.end(), ById(aClaim.m_id));
+  const auto mine = std::find_if(live.begin(), live.end(), HasId(aClaim.m_id));
   return mine != live.end() && mine->m_won;
 }
 
--- a/src/ferrytray/once/claim_test.cpp
+++ b/src/ferrytray/once/claim_test.cpp
@@ -15,9 +15,9 @@
 const base::TimePoint kNow{ 100s };
 const base::Digest128 kKey{ 7, 7 };
 
-once::Claim ClaimBy(std::uint64_t aId, const char* aHolder)
+once::Claim MakeClaim(std::uint64_t aId, const char* aClaimant)
 {
-  return { { 0, aId }, kKey, { 1, 1 }, aHolder };
+  return { { 0, aId }, kKey, { 1, 1 }, aClaimant };
 }
 
 template<typename Action>
@@ -29,7 +29,7 @@
 }
 
 /// The naive twin: keeps every record and works out from the start who ever won.
-std::vector<base::Digest128> NaiveWinners(const std::vector<once::ClaimEntry>& aLog)
+std::vector<base::Digest128> ReferenceWinners(const std::vector<once::ClaimEntry>& aLog)
 {
   std::vector<base::Digest128> winners;
   std::vector<base::Digest128> seen;
@@ -60,8 +60,8 @@
 
 TEST_GROUP(Claims)
 {
-  once::ClaimCoordinator m_one;
-  once::ClaimCoordinator m_two;
+  once::ClaimCoordinator m_gateA;
+  once::ClaimCoordinator m_gateB;
   std::vector<once::ClaimEntry> m_log;
 
   void ReadAll(once::ClaimCoordinator & aReader, once::ClaimActions & aActions)
@@ -74,72 +74,72 @@
   }
 };
 
-TEST(Claims, NothingIsWonBeforeItIsReadBack)
+TEST(Claims, ClaimIsNotWonBeforeItIsReadBack)
 {
-  const auto actions = m_one.OnClaim(ClaimBy(1, "a"), kNow);
+  const auto actions = m_gateA.OnClaim(MakeClaim(1, "a"), kNow);
   LONGS_EQUAL(1, Count<once::AppendBatch>(actions));
-  LONGS_EQUAL(0, Count<once::ClaimWon>(m_one.OnAppendEnded(true)));
+  LONGS_EQUAL(0, Count<once::ClaimWon>(m_gateA.OnAppendEnded(true)));
 }
 
-TEST(Claims, OfTwoGatesTheFirstInTheLogWins)
+TEST(Claims, FirstClaimInTheLogWins)
 {
-  m_one.OnClaim(ClaimBy(1, "a"), kNow);
-  m_two.OnClaim(ClaimBy(2, "b"), kNow);
-  m_log = { ClaimBy(2, "b"), ClaimBy(1, "a") };
+  m_gateA.OnClaim(MakeClaim(1, "a"), kNow);
+  m_gateB.OnClaim(MakeClaim(2, "b"), kNow);
+  m_log = { MakeClaim(2, "b"), MakeClaim(1, "a") };
   once::ClaimActions first;
   once::ClaimActions second;
-  ReadAll(m_one, first);
-  ReadAll(m_two, second);
+  ReadAll(m_gateA, first);
+  ReadAll(m_gateB, second);
   LONGS_EQUAL(1, Count<once::ClaimLost>(first));
   LONGS_EQUAL(1, Count<once::ClaimWon>(second));
 }
 
-TEST(Claims, ALostReplyIsSettledByReading)
+TEST(Claims, LostAppendReplyIsSettledByReadingTheLog)
 {
-  m_one.OnClaim(ClaimBy(1, "a"), kNow);
-  m_one.OnAppendEnded(false);
-  m_log = { ClaimBy(1, "a") };
+  m_gateA.OnClaim(MakeClaim(1, "a"), kNow);
+  m_gateA.OnAppendEnded(false);
+  m_log = { MakeClaim(1, "a") };
   once::ClaimActions actions;
-  ReadAll(m_one, actions);
+  ReadAll(m_gateA, actions);
   LONGS_EQUAL(1, Count<once::ClaimWon>(actions));
 }
 
-TEST(Claims, AGivenUpClaimNeverRunsAndIsReleasedUntilSeen)
+TEST(Claims, TimedOutClaimNeverRunsAndIsReleasedUntilReadBack)
 {
-  m_one.OnClaim(ClaimBy(1, "a"), kNow);
-  m_one.OnAppendEnded(false);
-  const auto late = m_one.OnTick(kNow + 2s);
+  m_gateA.OnClaim(MakeClaim(1, "a"), kNow);
+  m_gateA.OnAppendEnded(false);
+  const auto late = m_gateA.OnTick(kNow + 2s);
   LONGS_EQUAL(1, Count<once::ClaimUnsettled>(late));
-  m_log = { ClaimBy(1, "a") };
+  m_log = { MakeClaim(1, "a") };
   once::ClaimActions actions;
-  ReadAll(m_one, actions);
+  ReadAll(m_gateA, actions);
   LONGS_EQUAL(0, Count<once::ClaimWon>(actions));
-  m_one.OnAppendEnded(true);
-  const auto again = m_one.OnTick(kNow + 3s);
+  m_gateA.OnAppendEnded(true);
+  const auto again = m_gateA.OnTick(kNow + 3s);
   LONGS_EQUAL(1, Count<once::AppendBatch>(again));
 }
 
-TEST(Claims, AClaimThatArrivesAfterItsReleaseIsVoid)
+TEST(Claims, ClaimAppendedAfterItsReleaseIsIgnored)
 {
-  m_two.OnClaim(ClaimBy(2, "b"), kNow);
-  m_log = { once::Release{ { 0, 1 } }, ClaimBy(1, "a"), ClaimBy(2, "b") };
+  m_gateB.OnClaim(MakeClaim(2, "b"), kNow);
+  m_log = { once::Release{ { 0, 1 } }, MakeClaim(1, "a"), MakeClaim(2, "b") };
   once::ClaimActions actions;
-  ReadAll(m_two, actions);
+  ReadAll(m_gateB, actions);
   LONGS_EQUAL(1, Count<once::ClaimWon>(actions));
 }
 
 TEST(Claims, GroupCommitSendsOneAppendAtATime)
 {
-  m_one.OnClaim(ClaimBy(1, "a"), kNow);
-  LONGS_EQUAL(0, Count<once::AppendBatch>(m_one.OnClaim(ClaimBy(2, "a"), kNow)));
-  LONGS_EQUAL(0, Count<once::AppendBatch>(m_one.OnClaim(ClaimBy(3, "a"), kNow)));
-  const auto next = m_one.OnAppendEnded(true);
+  m_gateA.OnClaim(MakeClaim(1, "a"), kNow);
+  LONGS_EQUAL(0, Count<once::AppendBatch>(m_gateA.OnClaim(MakeClaim(2, "a"), kNow)));
+  LONGS_EQUAL(0, Count<once::AppendBatch>(m_gateA.OnClaim(MakeClaim(3, "a"), kNow)));
+  const auto next = m_gateA.OnAppendEnded(true);
   LONGS_EQUAL(2, std::get<once::AppendBatch>(next.front()).m_entries.size());
 }
 
-TEST(Claims, RecordsSurviveTheirEncoding)
+TEST(Claims, EncodedEntriesRoundTrip)
 {
-  const std::vector<once::ClaimEntry> entries{ ClaimBy(1, "a"),
+  const std::vector<once::ClaimEntry> entries{ MakeClaim(1, "a"),
                                                once::Release{ { 3, 4 } },
                                                once::Done{ { 5, 6 } } };
   const std::string text = once::EncodeEntries(entries);
@@ -150,13 +150,13 @@
   CHECK_FALSE(once::DecodeEntries("\xff\x00").has_value());
 }
 
-TEST(Claims, ALoserReleasesItsClaimSoThatItHoldsNothing)
+TEST(Claims, LosingGateReleasesItsClaim)
 {
-  m_two.OnClaim(ClaimBy(2, "b"), kNow);
-  m_two.OnAppendEnded(true);
-  m_log = { ClaimBy(1, "a"), ClaimBy(2, "b") };
+  m_gateB.OnClaim(MakeClaim(2, "b"), kNow);
+  m_gateB.OnAppendEnded(true);
+  m_log = { MakeClaim(1, "a"), MakeClaim(2, "b") };
   once::ClaimActions actions;
-  ReadAll(m_two, actions);
+  ReadAll(m_gateB, actions);
   LONGS_EQUAL(1, Count<once::ClaimLost>(actions));
   LONGS_EQUAL(1, Count<once::AppendBatch>(actions));
 }
@@ -166,30 +166,31 @@
 TEST(Claims, EveryOrderingHasAtMostOneWinner)
 {
   const std::vector<once::ClaimEntry> entries{
-    ClaimBy(1, "a"), ClaimBy(2, "b"), once::Release{ { 0, 1 } }, ClaimBy(1, "a"), ClaimBy(3, "c"),
+    MakeClaim(1, "a"), MakeClaim(2, "b"), once::Release{ { 0, 1 } },
+    MakeClaim(1, "a"), MakeClaim(3, "c"),
   };
   std::vector<int> order(entries.size());
   std::iota(order.begin(), order.end(), 0);
-  int walked = 0;
+  int orderings = 0;
   do {
     once::ClaimTable table(1h);
     std::vector<once::ClaimEntry> log;
     for (std::size_t at = 0; at < order.size(); ++at) {
       log.push_back(entries[order[at]]);
       table.Apply({ at, 0s }, { &log.back(), 1 });
-      const auto winners = NaiveWinners(log);
+      const auto winners = ReferenceWinners(log);
       CHECK(winners.size() <= 1);
       for (std::uint64_t id = 1; id <= 3; ++id) {
         const bool expected = !winners.empty() && winners.front() == base::Digest128{ 0, id };
-        CHECK_EQUAL(expected, table.Won(ClaimBy(id, "")));
+        CHECK_EQUAL(expected, table.HasWon(MakeClaim(id, "")));
       }
     }
-    ++walked;
+    ++orderings;
   } while (std::next_permutation(order.begin(), order.end()));
-  LONGS_EQUAL(120, walked);
+  LONGS_EQUAL(120, orderings);
 }
 
-TEST(Claims, TheTableAgreesWithTheNaiveTwinOnRandomLogs)
+TEST(Claims, MatchesReferenceModelOnRandomLogs)
 {
   const bool holds = rc::check("claim table", [] {
     once::ClaimTable table(1h);
@@ -199,13 +200,13 @@
       const auto id = static_cast<std::uint64_t>(steps[at] % 7);
       const bool release = steps[at] > 13;
       log.push_back(release ? once::ClaimEntry(once::Release{ { 0, id } })
-                            : once::ClaimEntry(ClaimBy(id, "g")));
+                            : once::ClaimEntry(MakeClaim(id, "g")));
       table.Apply({ at, 0s }, { &log.back(), 1 });
-      const auto winners = NaiveWinners(log);
+      const auto winners = ReferenceWinners(log);
       RC_ASSERT(winners.size() <= 1U);
       for (std::uint64_t check = 0; check < 7; ++check) {
         const bool expected = !winners.empty() && winners.front() == base::Digest128{ 0, check };
-        RC_ASSERT(table.Won(ClaimBy(check, "")) == expected);
+        RC_ASSERT(table.HasWon(MakeClaim(check, "")) == expected);
       }
     }
   });
@@ -214,11 +215,11 @@
 
 // A reader that starts where the log now begins must agree with one that has read it all, or a
 // key could be run by both.
-TEST(Claims, AReaderOfTheLastWindowAgreesWithAReaderOfEverything)
+TEST(Claims, ReaderOfLastWindowMatchesReaderOfWholeLog)
 {
   const bool holds = rc::check("fresh claim reader", [] {
     constexpr auto kWindow = 10s;
-    once::ClaimTable all(kWindow);
+    once::ClaimTable full(kWindow);
     once::ClaimTable fresh(kWindow);
     const auto steps =
       *rc::gen::resize(100, rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 60)));
@@ -227,14 +228,14 @@
       const auto id =
         static_cast<std::uint64_t>(at - static_cast<std::size_t>(steps[at]) % (at + 1));
       const once::ClaimEntry entry =
-        steps[at] % 3 == 0 ? once::ClaimEntry(once::Release{ { 0, id } }) : ClaimBy(id, "g");
-      all.Apply({ at, time }, { &entry, 1 });
+        steps[at] % 3 == 0 ? once::ClaimEntry(once::Release{ { 0, id } }) : MakeClaim(id, "g");
+      full.Apply({ at, time }, { &entry, 1 });
       // Release-to-claim distances stay under the window, as append delays do.
       if (at >= 60) {
         fresh.Apply({ at, time }, { &entry, 1 });
       }
     }
-    const auto left = all.Find(kKey);
+    const auto left = full.Find(kKey);
     const auto right = fresh.Find(kKey);
     RC_ASSERT(left.has_value() == right.has_value());
     RC_ASSERT(!left || left->m_claim.m_id == right->m_claim.m_id);
@@ -242,16 +243,16 @@
   CHECK(holds);
 }
 
-TEST(Claims, AClaimHoldsItsKeyForTheWindowOnly)
+TEST(Claims, ClaimHoldsItsKeyOnlyForTheWindow)
 {
   once::ClaimTable table(10s);
-  const std::vector<once::ClaimEntry> first{ ClaimBy(1, "a") };
-  const std::vector<once::ClaimEntry> second{ ClaimBy(2, "b") };
-  const std::vector<once::ClaimEntry> third{ ClaimBy(3, "c") };
+  const std::vector<once::ClaimEntry> first{ MakeClaim(1, "a") };
+  const std::vector<once::ClaimEntry> second{ MakeClaim(2, "b") };
+  const std::vector<once::ClaimEntry> third{ MakeClaim(3, "c") };
   table.Apply({ 1, 0s }, first);
   table.Apply({ 2, 9s }, second);
-  CHECK_FALSE(table.Won(ClaimBy(2, "b")));
+  CHECK_FALSE(table.HasWon(MakeClaim(2, "b")));
   table.Apply({ 3, 19s }, third);
-  CHECK(table.Won(ClaimBy(3, "c")));
+  CHECK(table.HasWon(MakeClaim(3, "c")));
   LONGS_EQUAL(1, table.Size());
 }
--- a/src/ferrytray/once/stream_assembler.cpp
+++ b/src/ferrytray/once/stream_assembler.cpp
@@ -6,60 +6,60 @@
 
 bool StreamAssembler::Begin(AttemptId aAttempt)
 {
-  if (m_next > 0) {
+  if (m_nextOffset > 0) {
     return false;
   }
   m_attempt = aAttempt;
-  m_held.clear();
-  m_heldBytes = 0;
-  m_end.reset();
+  m_buffered.clear();
+  m_bufferedBytes = 0;
+  m_endOffset.reset();
   return true;
 }
 
-std::string StreamAssembler::Accept(StreamPiece aPiece)
+std::string StreamAssembler::Accept(StreamChunk aChunk)
 {
-  const std::uint64_t end = aPiece.m_offset + aPiece.m_text.size();
-  if (aPiece.m_attempt != m_attempt) {
-    ++m_dropped;
+  const std::uint64_t end = aChunk.m_offset + aChunk.m_text.size();
+  if (aChunk.m_attempt != m_attempt) {
+    ++m_droppedChunks;
     return {};
   }
-  if (aPiece.m_last) {
-    m_end = end;
+  if (aChunk.m_last) {
+    m_endOffset = end;
   }
-  if (end <= m_next) {
-    m_dropped += aPiece.m_last ? 0 : 1;
+  if (end <= m_nextOffset) {
+    m_droppedChunks += aChunk.m_last ? 0 : 1;
     return {};
   }
-  const bool inOrder = aPiece.m_offset <= m_next;
-  const bool fits = m_heldBytes + aPiece.m_text.size() <= m_maxHeldBytes;
+  const bool inOrder = aChunk.m_offset <= m_nextOffset;
+  const bool fits = m_bufferedBytes + aChunk.m_text.size() <= m_maxBufferedBytes;
   if (!inOrder && !fits) {
     // Dropped pieces come again when the stream is resumed at NextOffset().
-    ++m_dropped;
+    ++m_droppedChunks;
     return {};
   }
-  m_heldBytes += aPiece.m_text.size();
-  std::string& held = m_held[aPiece.m_offset];
-  if (held.size() >= aPiece.m_text.size()) {
-    m_heldBytes -= aPiece.m_text.size();
+  m_bufferedBytes += aChunk.m_text.size();
+  std::string& held = m_buffered[aChunk.m_offset];
+  if (held.size() >= aChunk.m_text.size()) {
+    m_bufferedBytes -= aChunk.m_text.size();
   } else {
-    m_heldBytes -= held.size();
-    held = std::move(aPiece.m_text);
+    m_bufferedBytes -= held.size();
+    held = std::move(aChunk.m_text);
   }
-  return TakeReady();
+  return TakeInOrder();
 }
 
-std::string StreamAssembler::TakeReady()
+std::string StreamAssembler::TakeInOrder()
 {
   std::string ready;
-  while (!m_held.empty() && m_held.begin()->first <= m_next) {
-    const auto first = m_held.begin();
-    const std::uint64_t skip = m_next - first->first;
+  while (!m_buffered.empty() && m_buffered.begin()->first <= m_nextOffset) {
+    const auto first = m_buffered.begin();
+    const std::uint64_t skip = m_nextOffset - first->first;
     if (skip < first->second.size()) {
       ready.append(first->second, skip);
-      m_next += first->second.size() - skip;
+      m_nextOffset += first->second.size() - skip;
     }
-    m_heldBytes -= first->second.size();
-    m_held.erase(first);
+    m_bufferedBytes -= first->second.size();
+    m_buffered.erase(first);
   }
   return ready;
 }
--- a/src/ferrytray/once/stream_assembler_test.cpp
+++ b/src/ferrytray/once/stream_assembler_test.cpp
@@ -13,7 +13,7 @@
   once::StreamAssembler m_assembler{ 1000 };
 };
 
-TEST(StreamAssembler, DropsPiecesOfAPastAttempt)
+TEST(StreamAssembler, DropsChunksOfEarlierAttempts)
 {
   m_assembler.Begin(1);
   m_assembler.Begin(2);
@@ -22,14 +22,14 @@
   CHECK(m_assembler.IsComplete());
 }
 
-TEST(StreamAssembler, RefusesANewAttemptOnceTextWasDelivered)
+TEST(StreamAssembler, RejectsNewAttemptAfterFirstDelivery)
 {
   m_assembler.Begin(1);
   m_assembler.Accept({ 1, 0, "a", false });
   CHECK_FALSE(m_assembler.Begin(2));
 }
 
-TEST(StreamAssembler, IsNotCompleteWhileAPieceIsMissing)
+TEST(StreamAssembler, IsIncompleteWhileAChunkIsMissing)
 {
   m_assembler.Begin(1);
   m_assembler.Accept({ 1, 0, "ab", false });
@@ -43,30 +43,30 @@
 
 // Differential: any cover of the answer by pieces, in any order, with repeats, past attempts and
 // a naive "sort then concatenate" as the twin.
-TEST(StreamAssembler, AnyOrderOfPiecesGivesTheWholeAnswerOnce)
+TEST(StreamAssembler, DeliversTheAnswerOnceForAnyChunkOrder)
 {
   const bool holds = rc::check("reassembly", [] {
     const auto answer = *rc::gen::container<std::string>(rc::gen::inRange('a', 'z'));
-    std::vector<once::StreamPiece> pieces;
+    std::vector<once::StreamChunk> chunks;
     for (std::size_t at = 0; at < answer.size();) {
       const auto length = *rc::gen::inRange<std::size_t>(1, 5);
       const std::string text = answer.substr(at, length);
-      pieces.push_back({ 7, at, text, at + text.size() == answer.size() });
+      chunks.push_back({ 7, at, text, at + text.size() == answer.size() });
       if (*rc::gen::arbitrary<bool>()) {
         const std::size_t back = at - *rc::gen::inRange<std::size_t>(0, at + 1);
-        pieces.push_back({ 7, back, answer.substr(back, at + text.size() - back), false });
-        pieces.push_back({ 6, at, "stale", true });
+        chunks.push_back({ 7, back, answer.substr(back, at + text.size() - back), false });
+        chunks.push_back({ 6, at, "stale", true });
       }
       at += text.size();
     }
-    for (std::size_t i = pieces.size(); i > 1; --i) {
-      std::swap(pieces[i - 1], pieces[*rc::gen::inRange<std::size_t>(0, i)]);
+    for (std::size_t i = chunks.size(); i > 1; --i) {
+      std::swap(chunks[i - 1], chunks[*rc::gen::inRange<std::size_t>(0, i)]);
     }
     once::StreamAssembler assembler(1U << 20U);
     assembler.Begin(7);
     std::string delivered;
-    for (const auto& piece : pieces) {
-      delivered += assembler.Accept(piece);
+    for (const auto& chunk : chunks) {
+      delivered += assembler.Accept(chunk);
     }
     RC_ASSERT(delivered == answer);
     RC_ASSERT(answer.empty() || assembler.IsComplete());
--- a/src/ferrytray/once/ticket_table.cpp
+++ b/src/ferrytray/once/ticket_table.cpp
@@ -37,20 +37,20 @@
   return ticket;
 }
 
-Redeemed TicketTable::Redeem(std::string_view aTicket,
-                             const std::string& aAccount,
-                             const base::Digest128& aRequest,
-                             base::TimePoint aNow)
+RedeemResult TicketTable::Redeem(std::string_view aTicket,
+                                 const std::string& aAccount,
+                                 const base::Digest128& aRequest,
+                                 base::TimePoint aNow)
 {
   const std::string_view incarnation = IncarnationOf(aTicket);
   if (incarnation.empty()) {
     return Refusal(base::ErrorCode::TicketUnknown, base::RunState::NotRun, "malformed ticket");
   }
-  if (!LivesHere(incarnation)) {
-    return RedeemElsewhere{ std::string(incarnation) };
+  if (!IsLocal(incarnation)) {
+    return RedeemForward{ std::string(incarnation) };
   }
   Entry* entry = FindEntry(aTicket);
-  if (entry == nullptr || entry->m_expires <= aNow) {
+  if (entry == nullptr || entry->m_expiresAt <= aNow) {
     return Refusal(
       base::ErrorCode::TicketUnknown, base::RunState::Unknown, "ticket is not known here");
   }
@@ -80,7 +80,7 @@
   return RedeemRun{};
 }
 
-void TicketTable::Finish(std::string_view aTicket, KeptAnswer aAnswer)
+void TicketTable::Finish(std::string_view aTicket, StoredAnswer aAnswer)
 {
   Entry* entry = FindEntry(aTicket);
   if (entry == nullptr) {
@@ -94,7 +94,7 @@
   entry->m_answer = std::move(aAnswer);
 }
 
-void TicketTable::FinishUnknown(std::string_view aTicket)
+void TicketTable::FinishWithoutAnswer(std::string_view aTicket)
 {
   Entry* entry = FindEntry(aTicket);
   if (entry != nullptr) {
@@ -102,7 +102,7 @@
   }
 }
 
-void TicketTable::GiveBack(std::string_view aTicket)
+void TicketTable::CancelRedemption(std::string_view aTicket)
 {
   Entry* entry = FindEntry(aTicket);
   if (entry != nullptr && entry->m_state == TicketState::Running) {
@@ -115,31 +115,37 @@
   std::vector<TicketRow> rows;
   rows.reserve(m_tickets.size());
   for (const auto& [ticket, entry] : m_tickets) {
-    if (entry.m_expires <= aNow) {
+    if (entry.m_expiresAt <= aNow) {
       continue;
     }
     const bool running = entry.m_state == TicketState::Running;
     const TicketState state = running ? TicketState::Unknown : entry.m_state;
-    rows.push_back(
-      { ticket, entry.m_account, state, entry.m_request, entry.m_answer, entry.m_expires - aNow });
+    rows.push_back({ ticket,
+                     entry.m_account,
+                     state,
+                     entry.m_request,
+                     entry.m_answer,
+                     entry.m_expiresAt - aNow });
   }
   return rows;
 }
 
-void TicketTable::Adopt(const std::string& aIncarnation,
-                        std::span<const TicketRow> aRows,
-                        base::TimePoint aNow)
+void TicketTable::Import(const std::string& aIncarnation,
+                         std::span<const TicketRow> aRows,
+                         base::TimePoint aNow)
 {
-  if (LivesHere(aIncarnation)) {
+  if (IsLocal(aIncarnation)) {
     return;
   }
-  m_adopted.push_back(aIncarnation);
+  m_importedIncarnations.push_back(aIncarnation);
   for (const TicketRow& row : aRows) {
-    const bool own = LivesHere(IncarnationOf(row.m_ticket));
-    if (!own) {
-      m_adopted.emplace_back(IncarnationOf(row.m_ticket));
+    const bool isLocal = IsLocal(IncarnationOf(row.m_ticket));
+    if (!isLocal) {
+      m_importedIncarnations.emplace_back(IncarnationOf(row.m_ticket));
     }
-    const Entry entry{ row.m_account, row.m_state, row.m_request, row.m_answer, aNow + row.m_left };
+    const Entry entry{
+      row.m_account, row.m_state, row.m_request, row.m_answer, aNow + row.m_remainingLifetime
+    };
     if (m_tickets.emplace(row.m_ticket, entry).second) {
       ++m_perAccount[row.m_account];
     }
@@ -149,7 +155,7 @@
 std::vector<std::string> TicketTable::Incarnations() const
 {
   std::vector<std::string> all{ m_incarnation };
-  all.insert(all.end(), m_adopted.begin(), m_adopted.end());
+  all.insert(all.end(), m_importedIncarnations.begin(), m_importedIncarnations.end());
   return all;
 }
 
@@ -157,7 +163,7 @@
 {
   for (auto it = m_tickets.begin(); it != m_tickets.end();) {
     const bool running = it->second.m_state == TicketState::Running;
-    if (running || it->second.m_expires > aNow) {
+    if (running || it->second.m_expiresAt > aNow) {
       ++it;
       continue;
     }
@@ -169,10 +175,11 @@
   }
 }
 
-bool TicketTable::LivesHere(std::string_view aIncarnation) const
+bool TicketTable::IsLocal(std::string_view aIncarnation) const
 {
   return aIncarnation == m_incarnation ||
-         std::find(m_adopted.begin(), m_adopted.end(), aIncarnation) != m_adopted.end();
+         std::find(m_importedIncarnations.begin(), m_importedIncarnations.end(), aIncarnation) !=
+           m_importedIncarnations.end();
 }
 
 TicketTable::Entry* TicketTable::FindEntry(std::string_view aTicket)
--- a/src/ferrytray/wire/frames.cpp
+++ b/src/ferrytray/wire/frames.cpp
@@ -115,7 +115,7 @@
 namespace ferrytray::once {
 
 template<typename Archive>
-void serialize(Archive& aArchive, KeptAnswer& aAnswer)
+void serialize(Archive& aArchive, StoredAnswer& aAnswer)
 {
   aArchive(aAnswer.m_status, aAnswer.m_contentType, aAnswer.m_body);
 }
@@ -123,7 +123,12 @@
 template<typename Archive>
 void serialize(Archive& aArchive, TicketRow& aRow)
 {
-  aArchive(aRow.m_ticket, aRow.m_account, aRow.m_state, aRow.m_request, aRow.m_answer, aRow.m_left);
+  aArchive(aRow.m_ticket,
+           aRow.m_account,
+           aRow.m_state,
+           aRow.m_request,
+           aRow.m_answer,
+           aRow.m_remainingLifetime);
 }
 
 } // namespace ferrytray::once
