--- a/include/ferrytray/once/answer_store.hpp
+++ b/include/ferrytray/once/answer_store.hpp
@@ -10,7 +10,8 @@
 
 namespace ferrytray::once {
 
-/// @brief Answers of keyed requests, kept within a byte budget; the oldest go first.
+/// @brief Stores the answers to requests with an Idempotency-Key within a byte budget; evicts the
+/// oldest first.
 class AnswerStore
 {
 public:
@@ -19,9 +20,10 @@
   {
   }
 
-  /// @brief Keeps an answer under its key; one larger than the budget is not kept.
+  /// @brief Stores an answer under its key. Ignores answers larger than the budget and keys that
+  /// already have an answer.
   void Put(const base::Digest128& aKey, StoredAnswer aAnswer);
-  /// @brief The kept answer, if it is still there.
+  /// @brief Returns the stored answer unless it was evicted.
   [[nodiscard]] std::optional<StoredAnswer> Find(const base::Digest128& aKey) const;
   [[nodiscard]] std::size_t Bytes() const { return m_bytes; }
 
--- a/include/ferrytray/once/claim_coordinator.hpp
+++ b/include/ferrytray/once/claim_coordinator.hpp
@@ -13,13 +13,13 @@
 
 namespace ferrytray::once {
 
-/// @brief Append this batch to the claim stream, then call OnAppendEnded.
+/// @brief Tells the caller to append this batch to the claim stream and then call OnAppendEnded.
 struct AppendBatch
 {
   std::vector<ClaimEntry> m_entries;
 };
 
-/// @brief The claim holds its key: dispatch now.
+/// @brief The claim holds its key; the request can be dispatched.
 struct ClaimWon
 {
   base::Digest128 m_id;
@@ -32,7 +32,8 @@
   LiveClaim m_holder;
 };
 
-/// @brief The log did not settle the claim in time: refuse, nothing ran.
+/// @brief The claim was not resolved, for example within the timeout; the request was not run and
+/// must be rejected.
 struct ClaimUnsettled
 {
   base::Digest128 m_id;
@@ -45,14 +46,15 @@
 {
   base::Duration m_settleTimeout = std::chrono::seconds(2);
   std::size_t m_maxPending = 10000;
-  base::Duration m_window = std::chrono::hours(1); ///< the log must keep longer than this
+  /// How long a claim holds its key. The log must retain records for longer than this.
+  base::Duration m_window = std::chrono::hours(1);
 };
 
-/// @brief One gate's part in the claims: group commit, read back, release.
+/// @brief Runs the claim protocol for one gate: group commit, read-back, release.
 ///
-/// A claim is dispatched only after it was read back as the winner, so the reply to the append
-/// is never trusted: a lost one is settled by reading. A claim that was given up is released
-/// by id, again and again until the release is read back.
+/// A request is dispatched only after its claim was read back from the log as the winner. The reply
+/// to the append is not relied on, so a lost reply is resolved by reading. A claim that timed out
+/// is released by id; the release is repeated until it is read back.
 class ClaimCoordinator
 {
 public:
@@ -62,18 +64,20 @@
   {
   }
 
-  /// @brief A keyed request arrived. Look the key up in Table() first.
-  /// @return at once ClaimUnsettled when too many wait, else perhaps AppendBatch
+  /// @brief Handles a new request with an Idempotency-Key. Look the key up in Table() first.
+  /// @return ClaimUnsettled if m_maxPending claims are pending, otherwise AppendBatch if no append
+  /// is in progress
   ClaimActions OnClaim(const Claim& aClaim, base::TimePoint aNow);
-  /// @brief The claim's request ended; the key stays held.
+  /// @brief Records that the claim's request has ended; the claim keeps holding its key.
   ClaimActions OnDone(const base::Digest128& aClaim);
-  /// @brief The claim's request certainly ran nothing; the key is set free.
+  /// @brief Releases the key of a claim whose request was definitely not run.
   ClaimActions OnNotRun(const base::Digest128& aClaim);
-  /// @brief The append call returned or was lost; what it wrote is settled by reading.
+  /// @brief Handles the end of an append call.
+  /// @param aReplied false if no reply arrived; the batch may have been written and is sent again
   ClaimActions OnAppendEnded(bool aReplied);
-  /// @brief The next record of the stream was read.
+  /// @brief Handles the next record of the stream.
   ClaimActions OnRecord(const LogPosition& aPosition, std::span<const ClaimEntry> aEntries);
-  /// @brief Gives up claims that the log has not settled.
+  /// @brief Abandons claims that were not read back before their deadline.
   ClaimActions OnTick(base::TimePoint aNow);
 
   [[nodiscard]] const ClaimTable& Table() const { return m_table; }
--- a/include/ferrytray/once/claim_entry.hpp
+++ b/include/ferrytray/once/claim_entry.hpp
@@ -10,25 +10,25 @@
 
 namespace ferrytray::once {
 
-/// @brief A position in a stream of the platform's log.
+/// @brief Offset of a record in a stream of the platform's log.
 using LogOffset = std::uint64_t;
 
-/// @brief Asks for the right to run the request that a caller's Idempotency-Key names.
+/// @brief Claims the exclusive right to run the request identified by an Idempotency-Key.
 struct Claim
 {
-  base::Digest128 m_id;      ///< random; names this claim alone
-  base::Digest128 m_key;     ///< client account and Idempotency-Key
-  base::Digest128 m_request; ///< the request's content
-  std::string m_claimant;    ///< the gate incarnation that asks
+  base::Digest128 m_id;      ///< random, unique to this claim
+  base::Digest128 m_key;     ///< digest of client account and Idempotency-Key
+  base::Digest128 m_request; ///< digest of the request's content
+  std::string m_claimant;    ///< the gate incarnation that makes the claim
 };
 
-/// @brief The claim with this id has run nothing and never will.
+/// @brief Withdraws a claim: its request was not run and will not be run under it.
 struct Release
 {
   base::Digest128 m_id;
 };
 
-/// @brief The request of this claim has ended.
+/// @brief Marks the request of a claim as ended.
 struct Done
 {
   base::Digest128 m_id;
@@ -36,13 +36,14 @@
 
 using ClaimEntry = std::variant<Claim, Release, Done>;
 
-/// @brief The account's name and its key as one digest.
+/// @brief Returns the digest of a client account's name and its Idempotency-Key.
 base::Digest128 KeyDigest(std::string_view aAccount, std::string_view aIdempotencyKey);
 
-/// @brief One log record: a batch of entries, in order.
+/// @brief Encodes a batch of entries, in order, as one log record.
 std::string EncodeEntries(const std::vector<ClaimEntry>& aEntries);
 
-/// @brief Reads what EncodeEntries wrote. @return PlatformMalformed for anything else
+/// @brief Decodes a record written by EncodeEntries.
+/// @return the entries, or PlatformMalformed for any other input
 base::Result<std::vector<ClaimEntry>> DecodeEntries(std::string_view aRecord);
 
 } // namespace ferrytray::once
--- a/include/ferrytray/once/claim_table.hpp
+++ b/include/ferrytray/once/claim_table.hpp
@@ -13,7 +13,7 @@
 
 namespace ferrytray::once {
 
-/// @brief Where and when the platform kept a record. Times never fall along the stream.
+/// @brief Offset and platform time of a record. Times never decrease along the stream.
 struct LogPosition
 {
   LogOffset m_offset = 0;
@@ -25,17 +25,17 @@
 {
   Claim m_claim;
   LogPosition m_position;
-  bool m_won = false; ///< it came when its key had no live claim
+  bool m_won = false; ///< its key had no live claim when this one was read
   bool m_done = false;
 };
 
-/// @brief Replays the log's claim stream.
+/// @brief Replays the claim stream of the log.
 ///
-/// The state is a function of the last window of the stream alone, so a reader that starts anew
-/// (the log keeps more than a window) agrees with one that has read since the beginning:
+/// The state depends only on the last window of the stream. As the log retains more than one
+/// window, a reader that starts later reaches the same state as one that has read everything:
 /// - a key is held while any unreleased claim of it is younger than the window;
-/// - a claim wins if its key was not held when it came, and a loser is released by its gate;
-/// - a release may come before its claim (a slow append): the claim is then void when it comes.
+/// - a claim wins if its key was not held when it was read; its gate releases a claim that lost;
+/// - a release may precede its claim (after a slow append); the claim is then ignored.
 class ClaimTable
 {
 public:
@@ -45,12 +45,12 @@
   {
   }
 
-  /// @brief Applies one record. Records must come in offset order.
+  /// @brief Applies one record. Records must be applied in offset order.
   void Apply(const LogPosition& aPosition, std::span<const ClaimEntry> aEntries);
 
-  /// @brief The oldest live claim of a key, if any.
+  /// @brief Returns the oldest live claim of a key, if any.
   [[nodiscard]] std::optional<LiveClaim> Find(const base::Digest128& aKey) const;
-  /// @brief Whether this claim is live and won.
+  /// @brief Returns whether this claim is live and won its key.
   [[nodiscard]] bool HasWon(const Claim& aClaim) const;
   [[nodiscard]] std::size_t Size() const { return m_keyOfClaim.size(); }
 
--- a/include/ferrytray/once/stream_assembler.hpp
+++ b/include/ferrytray/once/stream_assembler.hpp
@@ -9,41 +9,41 @@
 
 namespace ferrytray::once {
 
-/// @brief Names one attempt at a request; a retry gets a new one.
+/// @brief Identifies one attempt at a request; every retry has a new id.
 using AttemptId = std::uint64_t;
 
-/// @brief A part of an answer.
+/// @brief A contiguous range of an answer's bytes, received from one attempt.
 struct StreamChunk
 {
   AttemptId m_attempt = 0;
-  std::uint64_t m_offset = 0; ///< bytes of the answer before this piece
+  std::uint64_t m_offset = 0; ///< offset of the first byte in the answer
   std::string m_text;
   bool m_last = false;
 };
 
-/// @brief Puts an answer together from pieces that may be late, repeated or out of order.
+/// @brief Reassembles an answer from chunks that may be late, repeated or out of order.
 ///
-/// Nothing is delivered twice, short, or from a past attempt.
+/// Delivers every byte once and in order, and none from an earlier attempt.
 class StreamAssembler
 {
 public:
-  /// @param aMaxBufferedBytes the most that may wait for a missing piece
+  /// @param aMaxBufferedBytes limit of the bytes buffered while an earlier chunk is missing
   explicit StreamAssembler(std::size_t aMaxBufferedBytes)
     : m_maxBufferedBytes(aMaxBufferedBytes)
   {
   }
 
-  /// @brief From now on only this attempt's pieces count. Only before the first delivery.
-  /// @return false when text was delivered already
+  /// @brief Switches to a new attempt; chunks of other attempts are dropped from now on.
+  /// @return false, without effect, if text was already delivered
   bool Begin(AttemptId aAttempt);
-  /// @brief Takes a piece and returns the text that can be delivered now, perhaps none.
+  /// @brief Adds a chunk and returns the text that can now be delivered, possibly none.
   std::string Accept(StreamChunk aChunk);
 
-  /// @brief Where a broken stream has to be resumed (bytes).
+  /// @brief Returns the offset (bytes) from which an interrupted stream has to be resumed.
   [[nodiscard]] std::uint64_t NextOffset() const { return m_nextOffset; }
-  /// @brief Whether every byte up to the last piece's end was delivered.
+  /// @brief Returns whether every byte up to the end of the last chunk was delivered.
   [[nodiscard]] bool IsComplete() const { return m_endOffset && m_nextOffset == *m_endOffset; }
-  /// @brief Whether pieces wait for one that is missing.
+  /// @brief Returns whether chunks are buffered because an earlier one is missing.
   [[nodiscard]] bool HasGap() const { return !m_buffered.empty(); }
   [[nodiscard]] std::uint64_t DroppedChunks() const { return m_droppedChunks; }
 
--- a/include/ferrytray/once/ticket_table.hpp
+++ b/include/ferrytray/once/ticket_table.hpp
@@ -16,7 +16,7 @@
 
 namespace ferrytray::once {
 
-/// @brief A finished answer, kept for repeats.
+/// @brief A complete answer, stored to replay it when the request is repeated.
 struct StoredAnswer
 {
   int m_status = 200;
@@ -29,10 +29,10 @@
   Issued,
   Running,
   Answered,
-  Unknown, ///< it may have run and its answer is gone
+  Unknown, ///< it may have run, but no answer is available
 };
 
-/// @brief One ticket, as it is handed to a peer on a planned stop.
+/// @brief One ticket as exported to a peer on a planned shutdown.
 struct TicketRow
 {
   std::string m_ticket;
@@ -40,19 +40,19 @@
   TicketState m_state = TicketState::Issued;
   base::Digest128 m_request;
   StoredAnswer m_answer;
-  base::Duration m_remainingLifetime{}; ///< until it expires
+  base::Duration m_remainingLifetime{}; ///< time until it expires
 };
 
-/// @brief Run the request now; Finish or CancelRedemption must follow.
+/// @brief The request must be run now; Finish, FinishWithoutAnswer or CancelRedemption must follow.
 struct RedeemRun
 {
 };
-/// @brief The ticket lives at another incarnation.
+/// @brief The ticket belongs to another incarnation; the request must be forwarded to it.
 struct RedeemForward
 {
   std::string m_incarnation;
 };
-/// @brief The request has finished; this is its answer.
+/// @brief The request has already finished; its stored answer must be replayed.
 struct RedeemReplay
 {
   StoredAnswer m_answer;
@@ -64,17 +64,17 @@
 {
   base::Duration m_lifetime = std::chrono::minutes(30);
   std::size_t m_maxPerAccount = 10000;
-  std::size_t m_maxAnswerBytes = 256U << 10U; ///< a longer answer is not kept
+  std::size_t m_maxAnswerBytes = 256U << 10U; ///< longer answers are not stored
 };
 
-/// @brief The tickets of one gate incarnation. At most one request runs for each.
+/// @brief The tickets of one gate incarnation. At most one request is run per ticket.
 ///
-/// A ticket is redeemed only where it was issued (or handed to), so that no lease and no log is
-/// needed and a zone that is cut off goes on.
+/// A ticket is redeemed only at the gate that issued or imported it. This needs neither a lease nor
+/// the log, so an availability zone cut off from the others keeps working.
 class TicketTable
 {
 public:
-  /// @param aIncarnation this gate's incarnation; no dot in it
+  /// @param aIncarnation this gate's incarnation; must not contain a dot
   TicketTable(std::string aIncarnation, TicketOptions aOptions = {})
     : m_incarnation(std::move(aIncarnation))
     , m_options(aOptions)
@@ -83,7 +83,7 @@
 
   /// @brief Issues a ticket.
   /// @param aSecret 128 random bits as hexadecimal
-  /// @return TableFull past the account's cap, ShuttingDown once frozen
+  /// @return the ticket, TableFull if the account has reached its limit, ShuttingDown once frozen
   base::Result<std::string> Issue(const std::string& aAccount,
                                   std::string_view aSecret,
                                   base::TimePoint aNow);
@@ -92,25 +92,26 @@
                       const std::string& aAccount,
                       const base::Digest128& aRequest,
                       base::TimePoint aNow);
-  /// @brief The request ended with an answer to keep.
+  /// @brief Stores the answer of the ticket's request; an oversized answer is dropped.
   void Finish(std::string_view aTicket, StoredAnswer aAnswer);
-  /// @brief The request may have run and has no answer.
+  /// @brief Marks the ticket's request as possibly run and without an answer.
   void FinishWithoutAnswer(std::string_view aTicket);
-  /// @brief The request certainly ran nothing; the ticket can be redeemed again.
+  /// @brief Makes a ticket redeemable again after its request was definitely not run.
   void CancelRedemption(std::string_view aTicket);
 
-  /// @brief Stops redeeming and issuing; must come before Export.
+  /// @brief Stops issuing tickets and starting requests; must be called before Export.
   void Freeze() { m_frozen = true; }
-  /// @brief Every live ticket, for one named peer. A running one goes as Unknown.
+  /// @brief Returns every unexpired ticket, to be imported by one peer. Running ones are exported
+  /// as Unknown.
   [[nodiscard]] std::vector<TicketRow> Export(base::TimePoint aNow) const;
-  /// @brief Takes over another incarnation's tickets; a repeat changes nothing.
+  /// @brief Takes over another incarnation's tickets; repeated calls have no effect.
   void Import(const std::string& aIncarnation,
               std::span<const TicketRow> aRows,
               base::TimePoint aNow);
-  /// @brief Incarnations whose tickets live here, this one first.
+  /// @brief Returns the incarnations whose tickets this table holds, its own first.
   [[nodiscard]] std::vector<std::string> Incarnations() const;
 
-  /// @brief Drops expired tickets.
+  /// @brief Removes expired tickets except those whose request is running.
   void Expire(base::TimePoint aNow);
   [[nodiscard]] std::size_t Size() const { return m_tickets.size(); }
 
--- a/src/ferrytray/once/claim_coordinator.cpp
+++ b/src/ferrytray/once/claim_coordinator.cpp
@@ -37,7 +37,7 @@
   m_appending = false;
   const std::vector<ClaimEntry> sent = std::exchange(m_inFlight, {});
   if (!aReplied) {
-    // Sending an entry twice is harmless: claims and releases are named by id.
+    // Appending an entry twice is harmless: claims and releases are identified by id.
     m_queued.insert(m_queued.begin(), sent.begin(), sent.end());
     return {};
   }
@@ -90,7 +90,7 @@
       ++it;
       continue;
     }
-    // The claim may still reach the log, so it is released by id before it is seen.
+    // The claim may still reach the log later, so it is released without waiting to read it.
     m_releases.emplace(it->first, Release{ it->first });
     actions.emplace_back(ClaimUnsettled{ it->first });
     it = m_pending.erase(it);
--- a/src/ferrytray/once/claim_table.cpp
+++ b/src/ferrytray/once/claim_table.cpp
@@ -55,7 +55,8 @@
   while (!m_expiryQueue.empty() && m_expiryQueue.front().m_expiresAt <= aTime) {
     const base::Digest128 id = m_expiryQueue.front().m_id;
     m_expiryQueue.pop_front();
-    // An id stands twice when it was claimed and released; the release decides.
+    // An id that was claimed and then released is queued twice; its release already removed the
+    // claim.
     m_releasedIds.erase(id);
     Remove(id);
   }
--- a/src/ferrytray/once/claim_test.cpp
+++ b/src/ferrytray/once/claim_test.cpp
@@ -28,7 +28,7 @@
   }));
 }
 
-/// The naive twin: keeps every record and works out from the start who ever won.
+/// Reference model: recomputes the unreleased winners from the whole log.
 std::vector<base::Digest128> ReferenceWinners(const std::vector<once::ClaimEntry>& aLog)
 {
   std::vector<base::Digest128> winners;
@@ -161,8 +161,8 @@
   LONGS_EQUAL(1, Count<once::AppendBatch>(actions));
 }
 
-// Every ordering of three gates' claims with a release and a repeated append: every reader agrees
-// with the naive twin, and no two unreleased claims have ever both won.
+// Checks every ordering of three gates' claims, a release and a repeated append: the table matches
+// the reference model, and no two unreleased claims have both won.
 TEST(Claims, EveryOrderingHasAtMostOneWinner)
 {
   const std::vector<once::ClaimEntry> entries{
@@ -213,8 +213,8 @@
   CHECK(holds);
 }
 
-// A reader that starts where the log now begins must agree with one that has read it all, or a
-// key could be run by both.
+// A reader that starts at the oldest retained record must agree with one that has read the whole
+// log; otherwise two gates could both run the request of one key.
 TEST(Claims, ReaderOfLastWindowMatchesReaderOfWholeLog)
 {
   const bool holds = rc::check("fresh claim reader", [] {
@@ -230,7 +230,7 @@
       const once::ClaimEntry entry =
         steps[at] % 3 == 0 ? once::ClaimEntry(once::Release{ { 0, id } }) : MakeClaim(id, "g");
       full.Apply({ at, time }, { &entry, 1 });
-      // Release-to-claim distances stay under the window, as append delays do.
+      // Releases follow their claims within the window, as append delays are shorter.
       if (at >= 60) {
         fresh.Apply({ at, time }, { &entry, 1 });
       }
--- a/src/ferrytray/once/stream_assembler.cpp
+++ b/src/ferrytray/once/stream_assembler.cpp
@@ -33,7 +33,7 @@
   const bool inOrder = aChunk.m_offset <= m_nextOffset;
   const bool fits = m_bufferedBytes + aChunk.m_text.size() <= m_maxBufferedBytes;
   if (!inOrder && !fits) {
-    // Dropped pieces come again when the stream is resumed at NextOffset().
+    // Dropped chunks are sent again when the stream is resumed at NextOffset().
     ++m_droppedChunks;
     return {};
   }
--- a/src/ferrytray/once/stream_assembler_test.cpp
+++ b/src/ferrytray/once/stream_assembler_test.cpp
@@ -41,8 +41,8 @@
   CHECK(m_assembler.IsComplete());
 }
 
-// Differential: any cover of the answer by pieces, in any order, with repeats, past attempts and
-// a naive "sort then concatenate" as the twin.
+// The answer is split into chunks with repeats, overlaps and chunks of an earlier attempt, and
+// shuffled; the delivered text must equal the answer.
 TEST(StreamAssembler, DeliversTheAnswerOnceForAnyChunkOrder)
 {
   const bool holds = rc::check("reassembly", [] {
--- a/src/ferrytray/once/ticket_table.cpp
+++ b/src/ferrytray/once/ticket_table.cpp
@@ -24,11 +24,12 @@
                                              base::TimePoint aNow)
 {
   if (m_frozen) {
-    return base::Fail(base::ErrorCode::ShuttingDown, "this gate is stopping");
+    return base::Fail(base::ErrorCode::ShuttingDown, "this gate is shutting down");
   }
   std::size_t& count = m_perAccount[aAccount];
   if (count >= m_options.m_maxPerAccount) {
-    return base::Fail(base::ErrorCode::TableFull, "client account holds too many tickets");
+    return base::Fail(base::ErrorCode::TableFull,
+                      "the client account has reached its ticket limit");
   }
   ++count;
   std::string ticket = m_incarnation + "." + std::string(aSecret);
@@ -51,18 +52,20 @@
   }
   Entry* entry = FindEntry(aTicket);
   if (entry == nullptr || entry->m_expiresAt <= aNow) {
-    return Refusal(
-      base::ErrorCode::TicketUnknown, base::RunState::Unknown, "ticket is not known here");
+    return Refusal(base::ErrorCode::TicketUnknown,
+                   base::RunState::Unknown,
+                   "the ticket is unknown or has expired");
   }
   if (entry->m_account != aAccount) {
-    return Refusal(
-      base::ErrorCode::TicketForeign, base::RunState::NotRun, "ticket of another account");
+    return Refusal(base::ErrorCode::TicketForeign,
+                   base::RunState::NotRun,
+                   "the ticket belongs to another client account");
   }
   const bool started = entry->m_state != TicketState::Issued;
   if (started && entry->m_request != aRequest) {
     return Refusal(base::ErrorCode::KeyReusedForOtherRequest,
                    base::RunState::NotRun,
-                   "ticket was redeemed for another request");
+                   "the ticket was already redeemed for a different request");
   }
   if (entry->m_state == TicketState::Answered) {
     return RedeemReplay{ entry->m_answer };
@@ -70,10 +73,11 @@
   if (started) {
     return Refusal(base::ErrorCode::TicketInUse,
                    base::RunState::Unknown,
-                   "ticket is in use or its answer is gone");
+                   "the ticket is in use or its answer is no longer available");
   }
   if (m_frozen) {
-    return Refusal(base::ErrorCode::ShuttingDown, base::RunState::NotRun, "this gate is stopping");
+    return Refusal(
+      base::ErrorCode::ShuttingDown, base::RunState::NotRun, "this gate is shutting down");
   }
   entry->m_state = TicketState::Running;
   entry->m_request = aRequest;
--- a/src/ferrytray/once/ticket_table_test.cpp
+++ b/src/ferrytray/once/ticket_table_test.cpp
@@ -77,7 +77,7 @@
   const auto rows = m_issuer.Export(kNow);
   peer.Import("gate1-5", rows, kNow);
   CHECK(ShouldRun(peer.Redeem(m_ticket, "lab", kRequest, kNow)));
-  // A lost reply makes the old home send the table again: nothing may be set back.
+  // The exporting gate sends the table again if the reply is lost; no ticket state may be reset.
   peer.Import("gate1-5", rows, kNow);
   CHECK(CodeOf(peer.Redeem(m_ticket, "lab", kRequest, kNow)) == base::ErrorCode::TicketInUse);
   CHECK(RunOf(peer.Redeem(running, "lab", kRequest, kNow)) == base::RunState::Unknown);
