--- a/include/ferrytray/keeper/config_sync.hpp
+++ b/include/ferrytray/keeper/config_sync.hpp
@@ -45,7 +45,7 @@
   wire::LogFollower m_follower;
   wire::LogClient m_appender;
   replay::ConfigReplay m_replay;
-  std::vector<replay::PlacedRecord> m_bootRecords;
+  std::vector<replay::LoggedRecord> m_bootRecords;
   OnChange m_onChange;
   bool m_booted = false;
   bool m_toldByPeer = false;
--- a/include/ferrytray/replay/config_replay.hpp
+++ b/include/ferrytray/replay/config_replay.hpp
@@ -16,11 +16,11 @@
 struct ScopeState
 {
   std::string m_scope;
-  LogOffset m_accepted = 0; ///< the offset of the file in force
+  LogOffset m_acceptedOffset = 0; ///< the offset of the file in force
   std::string m_digest;
   std::string m_body;
-  base::Duration m_keptSince{}; ///< platform time of its newest copy in the log
-  bool m_schemaKnown = true;    ///< false: the body is the last one that this program could read
+  base::Duration m_newestCopyTime{}; ///< platform time of its newest copy in the log
+  bool m_schemaSupported = true; ///< false: the body is the last one that this program could read
 };
 
 /// @brief The file is in force now.
@@ -34,7 +34,7 @@
 {
   std::string m_id;
   std::string m_scope;
-  LogOffset m_expectedBase = 0;
+  LogOffset m_expectedBaseOffset = 0;
   std::string m_reason;
 };
 /// @brief A renewal, or a record that was seen before.
@@ -45,7 +45,7 @@
 using ReplayOutcome = std::variant<Accepted, Rejected, Unchanged>;
 
 /// @brief A record with its place and platform time.
-struct PlacedRecord
+struct LoggedRecord
 {
   LogOffset m_offset = 0;
   base::Duration m_time{};
@@ -60,9 +60,10 @@
 class ConfigReplay
 {
 public:
-  /// @param aNewestSchema files of a newer schema are accepted but keep the old content in use
-  explicit ConfigReplay(int aNewestSchema = 1)
-    : m_newestSchema(aNewestSchema)
+  /// @param aNewestSupportedSchema files of a newer schema are accepted but keep the old content in
+  /// use
+  explicit ConfigReplay(int aNewestSupportedSchema = 1)
+    : m_newestSupportedSchema(aNewestSupportedSchema)
   {
   }
 
@@ -71,41 +72,41 @@
   /// A scope's state below the first kept offset is the highest one that any kept record stands
   /// for or builds on; a stale renewal (a paused host's) can then not be mistaken for it.
   /// @return one outcome a record
-  std::vector<ReplayOutcome> Bootstrap(std::span<const PlacedRecord> aRecords);
+  std::vector<ReplayOutcome> Bootstrap(std::span<const LoggedRecord> aRecords);
 
   /// @brief Applies the next record. Offsets at or below Position() change nothing.
-  ReplayOutcome Apply(const PlacedRecord& aRecord);
+  ReplayOutcome Apply(const LoggedRecord& aRecord);
 
   /// @brief Takes a peer's newer state. An older one, scope by scope, changes nothing.
   /// @return the scopes that changed
-  std::vector<std::string> Adopt(LogOffset aPosition, std::span<const ScopeState> aScopes);
+  std::vector<std::string> Merge(LogOffset aPosition, std::span<const ScopeState> aScopes);
 
   /// @brief The offset up to which the log has been replayed.
   [[nodiscard]] LogOffset Position() const { return m_position; }
   [[nodiscard]] const ScopeState* Find(const std::string& aScope) const;
   [[nodiscard]] const std::map<std::string, ScopeState>& Scopes() const { return m_scopes; }
   /// @brief Scopes whose file was accepted above an offset.
-  [[nodiscard]] std::vector<ScopeState> Since(LogOffset aOffset) const;
+  [[nodiscard]] std::vector<ScopeState> AcceptedSince(LogOffset aOffset) const;
   /// @brief Whether a record needs a newer program; the host then reports itself behind.
-  [[nodiscard]] bool IsBehind() const;
+  [[nodiscard]] bool HasUnsupportedSchema() const;
   /// @brief Scopes whose newest copy in the log is older than an age.
   [[nodiscard]] std::vector<RenewRecord> DueRenewals(base::Duration aNow,
-                                                     base::Duration aAge) const;
+                                                     base::Duration aMinAge) const;
 
 private:
-  ReplayOutcome ApplyRecord(const PlacedRecord& aPlaced, const FileRecord& aFile);
-  ReplayOutcome ApplyRecord(const PlacedRecord& aPlaced, const RenewRecord& aRenew);
-  void Place(ScopeState& aScope, LogOffset aAccepted);
+  ReplayOutcome ApplyRecord(const LoggedRecord& aLogged, const FileRecord& aFile);
+  ReplayOutcome ApplyRecord(const LoggedRecord& aLogged, const RenewRecord& aRenew);
+  void SetAcceptedOffset(ScopeState& aScope, LogOffset aAcceptedOffset);
   void Install(ScopeState& aScope,
-               LogOffset aAccepted,
+               LogOffset aAcceptedOffset,
                const std::string& aDigest,
                const std::string& aBody,
                int aSchema);
 
-  int m_newestSchema;
+  int m_newestSupportedSchema;
   LogOffset m_position = 0;
   std::map<std::string, ScopeState> m_scopes;
-  std::map<LogOffset, std::string> m_byAccepted; ///< so that Since costs what it gives
+  std::map<LogOffset, std::string> m_scopeByOffset; ///< so that Since costs what it gives
 };
 
 } // namespace ferrytray::replay
--- a/include/ferrytray/replay/record.hpp
+++ b/include/ferrytray/replay/record.hpp
@@ -17,9 +17,9 @@
 {
   std::string m_id; ///< random; how the author finds its own record after a lost reply
   std::string m_scope;
-  LogOffset m_base = 0; ///< offset of the record it replaces; 0 for a new scope
-  std::string m_digest; ///< SHA-256 of the body
-  std::string m_body;   ///< YAML
+  LogOffset m_baseOffset = 0; ///< offset of the record it replaces; 0 for a new scope
+  std::string m_digest;       ///< SHA-256 of the body
+  std::string m_body;         ///< YAML
   int m_schema = 1;
 };
 
@@ -27,7 +27,7 @@
 struct RenewRecord
 {
   std::string m_scope;
-  LogOffset m_accepted = 0; ///< the offset that it stands for
+  LogOffset m_acceptedOffset = 0; ///< the offset that it stands for
   std::string m_digest;
   std::string m_body;
   int m_schema = 1;
--- a/include/ferrytray/replay/registry.hpp
+++ b/include/ferrytray/replay/registry.hpp
@@ -31,22 +31,22 @@
   [[nodiscard]] const config::Service* ServiceByPath(std::string_view aPath) const;
   [[nodiscard]] const config::HalfRule* RuleForFleet(const std::string& aFleet) const;
   [[nodiscard]] const config::HalfRule* RuleForAccount(const std::string& aAccount) const;
-  [[nodiscard]] std::vector<config::Document> Others(const std::string& aScope) const;
+  [[nodiscard]] std::vector<config::Document> OtherDocuments(const std::string& aScope) const;
   [[nodiscard]] std::vector<const config::Fleet*> Fleets() const;
   [[nodiscard]] std::vector<const config::HalfRule*> Rules() const;
-  [[nodiscard]] const config::Document* Scope(const std::string& aScope) const;
-  [[nodiscard]] std::size_t AccountCount() const { return m_byKey.size(); }
+  [[nodiscard]] const config::Document* FindDocument(const std::string& aScope) const;
+  [[nodiscard]] std::size_t AccountCount() const { return m_accountByKeyDigest.size(); }
 
 private:
-  void Unlink(const config::Document& aDocument);
-  void Link(const config::Document& aDocument);
+  void RemoveFromIndexes(const config::Document& aDocument);
+  void AddToIndexes(const config::Document& aDocument);
 
   std::map<std::string, DocumentPtr> m_scopes;
-  std::unordered_map<std::string, const config::ClientAccount*> m_byKey;
-  std::map<std::string, const config::Fleet*> m_byModel;
-  std::map<std::string, const config::Service*> m_byPrefix;
-  std::map<std::string, const config::HalfRule*> m_fleetRules;
-  std::map<std::string, const config::HalfRule*> m_accountRules;
+  std::unordered_map<std::string, const config::ClientAccount*> m_accountByKeyDigest;
+  std::map<std::string, const config::Fleet*> m_fleetByModel;
+  std::map<std::string, const config::Service*> m_serviceByPrefix;
+  std::map<std::string, const config::HalfRule*> m_ruleByFleet;
+  std::map<std::string, const config::HalfRule*> m_ruleByAccount;
 };
 
 } // namespace ferrytray::replay
--- a/src/ferrytray/gate/keeper_link.cpp
+++ b/src/ferrytray/gate/keeper_link.cpp
@@ -95,7 +95,7 @@
 {
   for (const replay::ScopeState& scope : aUpdate.m_scopes) {
     std::uint64_t& accepted = m_accepted[scope.m_scope];
-    if (scope.m_accepted <= accepted) {
+    if (scope.m_acceptedOffset <= accepted) {
       continue;
     }
     auto parsed = config::Parse(scope.m_body, scope.m_scope);
@@ -105,7 +105,7 @@
         .Add("why", parsed.error().front().m_message);
       continue;
     }
-    accepted = scope.m_accepted;
+    accepted = scope.m_acceptedOffset;
     auto document = std::make_shared<const config::Document>(std::move(*parsed));
     m_registry.Put(document);
     m_handlers.m_onDocument(*document);
--- a/src/ferrytray/keeper/config_sync.cpp
+++ b/src/ferrytray/keeper/config_sync.cpp
@@ -25,9 +25,9 @@
 
 void LogOutcome(const replay::Unchanged&, std::uint64_t) {}
 
-std::vector<replay::PlacedRecord> Place(const std::vector<wire::LogRecord>& aRecords)
+std::vector<replay::LoggedRecord> Place(const std::vector<wire::LogRecord>& aRecords)
 {
-  std::vector<replay::PlacedRecord> placed;
+  std::vector<replay::LoggedRecord> placed;
   for (const wire::LogRecord& record : aRecords) {
     auto decoded = replay::Decode(record.m_body);
     if (!decoded) {
@@ -65,11 +65,11 @@
 
 void ConfigSync::OnPage(const wire::LogPage& aPage)
 {
-  std::vector<replay::PlacedRecord> placed = Place(aPage.m_records);
+  std::vector<replay::LoggedRecord> placed = Place(aPage.m_records);
   // A reader that fell behind the log's head starts anew from what is kept.
   const bool missed = m_booted && aPage.m_firstKept > m_replay.Position() + 1 && !placed.empty();
   if (m_booted && !missed) {
-    for (const replay::PlacedRecord& record : placed) {
+    for (const replay::LoggedRecord& record : placed) {
       const auto outcome = m_replay.Apply(record);
       std::visit([&](const auto& aOutcome) { LogOutcome(aOutcome, record.m_offset); }, outcome);
     }
@@ -91,7 +91,7 @@
 
 void ConfigSync::OnPeerState(const wire::StateUpdate& aUpdate)
 {
-  const auto changed = m_replay.Adopt(aUpdate.m_position, aUpdate.m_scopes);
+  const auto changed = m_replay.Merge(aUpdate.m_position, aUpdate.m_scopes);
   m_toldByPeer = true;
   for (const std::string& scope : changed) {
     telemetry::LogLine("config_from_peer").Add("scope", scope).Add("position", aUpdate.m_position);
--- a/src/ferrytray/keeper/keeper.cpp
+++ b/src/ferrytray/keeper/keeper.cpp
@@ -140,7 +140,7 @@
 
   void OnConfigChange()
   {
-    for (const replay::ScopeState& scope : m_config.Replay().Since(m_parsedUpTo)) {
+    for (const replay::ScopeState& scope : m_config.Replay().AcceptedSince(m_parsedUpTo)) {
       auto parsed = config::Parse(scope.m_body, scope.m_scope);
       if (parsed) {
         // Accounts are the gate's business; at 27,000 of them they would take 18 MB here.
@@ -165,7 +165,8 @@
     if (!aSubscriber.m_greeted || !m_config.Ready() || aSubscriber.m_sentPosition >= position) {
       return;
     }
-    wire::StateUpdate update{ position, m_config.Replay().Since(aSubscriber.m_sentPosition) };
+    wire::StateUpdate update{ position,
+                              m_config.Replay().AcceptedSince(aSubscriber.m_sentPosition) };
     aSubscriber.m_sentPosition = position;
     aSubscriber.m_channel->Send(wire::EncodeFrame(update));
   }
--- a/src/ferrytray/keeper/status_json.cpp
+++ b/src/ferrytray/keeper/status_json.cpp
@@ -57,7 +57,7 @@
   }
   json scopes = json::object();
   for (const auto& [name, scope] : aView.m_replay.Scopes()) {
-    scopes[name] = { { "offset", scope.m_accepted }, { "behind", !scope.m_schemaKnown } };
+    scopes[name] = { { "offset", scope.m_acceptedOffset }, { "behind", !scope.m_schemaSupported } };
   }
   return json{
     { "host", aView.m_host },   { "position", aView.m_replay.Position() },
--- a/src/ferrytray/replay/config_replay.cpp
+++ b/src/ferrytray/replay/config_replay.cpp
@@ -15,38 +15,38 @@
 }
 
 /// The accepted offset that a record proves to have been in force once.
-LogOffset ProvenOffset(const ConfigRecord& aRecord)
+LogOffset ReferencedOffset(const ConfigRecord& aRecord)
 {
   if (const auto* file = std::get_if<FileRecord>(&aRecord)) {
-    return file->m_base;
+    return file->m_baseOffset;
   }
-  return std::get<RenewRecord>(aRecord).m_accepted;
+  return std::get<RenewRecord>(aRecord).m_acceptedOffset;
 }
 
 } // namespace
 
-std::vector<ReplayOutcome> ConfigReplay::Bootstrap(std::span<const PlacedRecord> aRecords)
+std::vector<ReplayOutcome> ConfigReplay::Bootstrap(std::span<const LoggedRecord> aRecords)
 {
   if (!aRecords.empty()) {
     const LogOffset first = aRecords.front().m_offset;
-    for (const PlacedRecord& placed : aRecords) {
-      const LogOffset proven = ProvenOffset(placed.m_record);
-      ScopeState& scope = m_scopes[ScopeOf(placed.m_record)];
-      scope.m_scope = ScopeOf(placed.m_record);
-      if (proven < first) {
-        Place(scope, std::max(scope.m_accepted, proven));
+    for (const LoggedRecord& logged : aRecords) {
+      const LogOffset referenced = ReferencedOffset(logged.m_record);
+      ScopeState& scope = m_scopes[ScopeOf(logged.m_record)];
+      scope.m_scope = ScopeOf(logged.m_record);
+      if (referenced < first) {
+        SetAcceptedOffset(scope, std::max(scope.m_acceptedOffset, referenced));
       }
     }
   }
   std::vector<ReplayOutcome> outcomes;
   outcomes.reserve(aRecords.size());
-  for (const PlacedRecord& placed : aRecords) {
-    outcomes.push_back(Apply(placed));
+  for (const LoggedRecord& logged : aRecords) {
+    outcomes.push_back(Apply(logged));
   }
   return outcomes;
 }
 
-ReplayOutcome ConfigReplay::Apply(const PlacedRecord& aRecord)
+ReplayOutcome ConfigReplay::Apply(const LoggedRecord& aRecord)
 {
   if (aRecord.m_offset <= m_position) {
     return Unchanged{};
@@ -56,65 +56,66 @@
                     aRecord.m_record);
 }
 
-ReplayOutcome ConfigReplay::ApplyRecord(const PlacedRecord& aPlaced, const FileRecord& aFile)
+ReplayOutcome ConfigReplay::ApplyRecord(const LoggedRecord& aLogged, const FileRecord& aFile)
 {
   ScopeState& scope = m_scopes[aFile.m_scope];
   scope.m_scope = aFile.m_scope;
-  if (aFile.m_base != scope.m_accepted) {
+  if (aFile.m_baseOffset != scope.m_acceptedOffset) {
     return Rejected{
-      aFile.m_id, aFile.m_scope, scope.m_accepted, "built on a file that is not in force"
+      aFile.m_id, aFile.m_scope, scope.m_acceptedOffset, "built on a file that is not in force"
     };
   }
   if (base::Sha256Hex(aFile.m_body) != aFile.m_digest) {
-    return Rejected{ aFile.m_id, aFile.m_scope, scope.m_accepted, "digest does not match" };
+    return Rejected{ aFile.m_id, aFile.m_scope, scope.m_acceptedOffset, "digest does not match" };
   }
-  Install(scope, aPlaced.m_offset, aFile.m_digest, aFile.m_body, aFile.m_schema);
-  scope.m_keptSince = aPlaced.m_time;
+  Install(scope, aLogged.m_offset, aFile.m_digest, aFile.m_body, aFile.m_schema);
+  scope.m_newestCopyTime = aLogged.m_time;
   return Accepted{ aFile.m_id, aFile.m_scope };
 }
 
-ReplayOutcome ConfigReplay::ApplyRecord(const PlacedRecord& aPlaced, const RenewRecord& aRenew)
+ReplayOutcome ConfigReplay::ApplyRecord(const LoggedRecord& aLogged, const RenewRecord& aRenew)
 {
   ScopeState& scope = m_scopes[aRenew.m_scope];
   scope.m_scope = aRenew.m_scope;
-  const bool stale = aRenew.m_accepted < scope.m_accepted;
-  const bool impossible = aRenew.m_accepted >= aPlaced.m_offset;
+  const bool stale = aRenew.m_acceptedOffset < scope.m_acceptedOffset;
+  const bool impossible = aRenew.m_acceptedOffset >= aLogged.m_offset;
   if (stale || impossible || base::Sha256Hex(aRenew.m_body) != aRenew.m_digest) {
     return Unchanged{};
   }
-  scope.m_keptSince = aPlaced.m_time;
-  const bool known = scope.m_accepted == aRenew.m_accepted && scope.m_digest == aRenew.m_digest;
-  if (known) {
+  scope.m_newestCopyTime = aLogged.m_time;
+  const bool alreadyInForce =
+    scope.m_acceptedOffset == aRenew.m_acceptedOffset && scope.m_digest == aRenew.m_digest;
+  if (alreadyInForce) {
     return Unchanged{};
   }
-  Install(scope, aRenew.m_accepted, aRenew.m_digest, aRenew.m_body, aRenew.m_schema);
+  Install(scope, aRenew.m_acceptedOffset, aRenew.m_digest, aRenew.m_body, aRenew.m_schema);
   return Accepted{ "", aRenew.m_scope };
 }
 
-void ConfigReplay::Place(ScopeState& aScope, LogOffset aAccepted)
+void ConfigReplay::SetAcceptedOffset(ScopeState& aScope, LogOffset aAcceptedOffset)
 {
-  m_byAccepted.erase(aScope.m_accepted);
-  aScope.m_accepted = aAccepted;
-  if (aAccepted > 0) {
-    m_byAccepted[aAccepted] = aScope.m_scope;
+  m_scopeByOffset.erase(aScope.m_acceptedOffset);
+  aScope.m_acceptedOffset = aAcceptedOffset;
+  if (aAcceptedOffset > 0) {
+    m_scopeByOffset[aAcceptedOffset] = aScope.m_scope;
   }
 }
 
 void ConfigReplay::Install(ScopeState& aScope,
-                           LogOffset aAccepted,
+                           LogOffset aAcceptedOffset,
                            const std::string& aDigest,
                            const std::string& aBody,
                            int aSchema)
 {
-  Place(aScope, aAccepted);
+  SetAcceptedOffset(aScope, aAcceptedOffset);
   aScope.m_digest = aDigest;
-  aScope.m_schemaKnown = aSchema <= m_newestSchema;
-  if (aScope.m_schemaKnown) {
+  aScope.m_schemaSupported = aSchema <= m_newestSupportedSchema;
+  if (aScope.m_schemaSupported) {
     aScope.m_body = aBody;
   }
 }
 
-std::vector<std::string> ConfigReplay::Adopt(LogOffset aPosition,
+std::vector<std::string> ConfigReplay::Merge(LogOffset aPosition,
                                              std::span<const ScopeState> aScopes)
 {
   std::vector<std::string> changed;
@@ -122,15 +123,15 @@
     return changed;
   }
   m_position = aPosition;
-  for (const ScopeState& theirs : aScopes) {
-    ScopeState& mine = m_scopes[theirs.m_scope];
-    mine.m_scope = theirs.m_scope;
-    if (theirs.m_accepted <= mine.m_accepted) {
+  for (const ScopeState& remote : aScopes) {
+    ScopeState& local = m_scopes[remote.m_scope];
+    local.m_scope = remote.m_scope;
+    if (remote.m_acceptedOffset <= local.m_acceptedOffset) {
       continue;
     }
-    Place(mine, theirs.m_accepted);
-    mine = theirs;
-    changed.push_back(theirs.m_scope);
+    SetAcceptedOffset(local, remote.m_acceptedOffset);
+    local = remote;
+    changed.push_back(remote.m_scope);
   }
   return changed;
 }
@@ -141,32 +142,33 @@
   return found == m_scopes.end() ? nullptr : &found->second;
 }
 
-std::vector<ScopeState> ConfigReplay::Since(LogOffset aOffset) const
+std::vector<ScopeState> ConfigReplay::AcceptedSince(LogOffset aOffset) const
 {
   std::vector<ScopeState> newer;
-  for (auto it = m_byAccepted.upper_bound(aOffset); it != m_byAccepted.end(); ++it) {
+  for (auto it = m_scopeByOffset.upper_bound(aOffset); it != m_scopeByOffset.end(); ++it) {
     newer.push_back(m_scopes.at(it->second));
   }
   return newer;
 }
 
-bool ConfigReplay::IsBehind() const
+bool ConfigReplay::HasUnsupportedSchema() const
 {
   return std::any_of(m_scopes.begin(), m_scopes.end(), [](const auto& aEntry) {
-    return !aEntry.second.m_schemaKnown;
+    return !aEntry.second.m_schemaSupported;
   });
 }
 
-std::vector<RenewRecord> ConfigReplay::DueRenewals(base::Duration aNow, base::Duration aAge) const
+std::vector<RenewRecord> ConfigReplay::DueRenewals(base::Duration aNow,
+                                                   base::Duration aMinAge) const
 {
   std::vector<RenewRecord> due;
   for (const auto& [name, scope] : m_scopes) {
     // A body that this program cannot read is left to hosts that can.
-    if (scope.m_accepted == 0 || !scope.m_schemaKnown || scope.m_body.empty() ||
-        aNow - scope.m_keptSince < aAge) {
+    if (scope.m_acceptedOffset == 0 || !scope.m_schemaSupported || scope.m_body.empty() ||
+        aNow - scope.m_newestCopyTime < aMinAge) {
       continue;
     }
-    due.push_back({ scope.m_scope, scope.m_accepted, scope.m_digest, scope.m_body, 1 });
+    due.push_back({ scope.m_scope, scope.m_acceptedOffset, scope.m_digest, scope.m_body, 1 });
   }
   return due;
 }
--- a/src/ferrytray/replay/config_replay_test.cpp
+++ b/src/ferrytray/replay/config_replay_test.cpp
@@ -10,22 +10,22 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 using replay::FileRecord;
-using replay::PlacedRecord;
+using replay::LoggedRecord;
 using replay::RenewRecord;
 
 namespace {
 
-FileRecord File(const std::string& aId,
-                replay::LogOffset aBase,
-                const std::string& aBody,
-                int aSchema = 1)
+FileRecord MakeFile(const std::string& aId,
+                    replay::LogOffset aBaseOffset,
+                    const std::string& aBody,
+                    int aSchema = 1)
 {
-  return { aId, "s", aBase, base::Sha256Hex(aBody), aBody, aSchema };
+  return { aId, "s", aBaseOffset, base::Sha256Hex(aBody), aBody, aSchema };
 }
 
-RenewRecord Renewal(replay::LogOffset aAccepted, const std::string& aBody)
+RenewRecord MakeRenewal(replay::LogOffset aAcceptedOffset, const std::string& aBody)
 {
-  return { "s", aAccepted, base::Sha256Hex(aBody), aBody, 1 };
+  return { "s", aAcceptedOffset, base::Sha256Hex(aBody), aBody, 1 };
 }
 
 std::string BodyOf(const replay::ConfigReplay& aReplay)
@@ -41,76 +41,77 @@
   replay::ConfigReplay m_replay;
 };
 
-TEST(ConfigReplay, OfRacingFilesOneWins)
+TEST(ConfigReplay, OnlyOneOfTwoConcurrentFilesIsAccepted)
 {
-  CHECK(std::holds_alternative<replay::Accepted>(m_replay.Apply({ 1, 0s, File("a", 0, "A") })));
-  CHECK(std::holds_alternative<replay::Accepted>(m_replay.Apply({ 2, 0s, File("b", 1, "B") })));
-  const auto lost = m_replay.Apply({ 3, 0s, File("c", 1, "C") });
-  LONGS_EQUAL(2, std::get<replay::Rejected>(lost).m_expectedBase);
+  CHECK(std::holds_alternative<replay::Accepted>(m_replay.Apply({ 1, 0s, MakeFile("a", 0, "A") })));
+  CHECK(std::holds_alternative<replay::Accepted>(m_replay.Apply({ 2, 0s, MakeFile("b", 1, "B") })));
+  const auto rejected = m_replay.Apply({ 3, 0s, MakeFile("c", 1, "C") });
+  LONGS_EQUAL(2, std::get<replay::Rejected>(rejected).m_expectedBaseOffset);
   STRCMP_EQUAL("B", BodyOf(m_replay).c_str());
 }
 
-TEST(ConfigReplay, ARecordSeenAgainChangesNothing)
+TEST(ConfigReplay, RepeatedRecordIsIgnored)
 {
-  m_replay.Apply({ 1, 0s, File("a", 0, "A") });
-  m_replay.Apply({ 2, 0s, File("b", 1, "B") });
-  CHECK(std::holds_alternative<replay::Unchanged>(m_replay.Apply({ 1, 0s, File("a", 0, "A") })));
+  m_replay.Apply({ 1, 0s, MakeFile("a", 0, "A") });
+  m_replay.Apply({ 2, 0s, MakeFile("b", 1, "B") });
+  CHECK(
+    std::holds_alternative<replay::Unchanged>(m_replay.Apply({ 1, 0s, MakeFile("a", 0, "A") })));
   STRCMP_EQUAL("B", BodyOf(m_replay).c_str());
 }
 
-TEST(ConfigReplay, ALateRenewalNeverRevertsANewerFile)
+TEST(ConfigReplay, StaleRenewalDoesNotRevertNewerFile)
 {
-  m_replay.Apply({ 1, 0s, File("a", 0, "A") });
-  m_replay.Apply({ 2, 0s, File("b", 1, "B") });
-  m_replay.Apply({ 3, 0s, Renewal(1, "A") });
+  m_replay.Apply({ 1, 0s, MakeFile("a", 0, "A") });
+  m_replay.Apply({ 2, 0s, MakeFile("b", 1, "B") });
+  m_replay.Apply({ 3, 0s, MakeRenewal(1, "A") });
   STRCMP_EQUAL("B", BodyOf(m_replay).c_str());
 }
 
-TEST(ConfigReplay, AFreshReaderIsNotFooledByALateRenewal)
+TEST(ConfigReplay, BootstrapIgnoresStaleRenewal)
 {
   // The log begins at 10. A paused host renewed offset 1 at 10, although 5 was in force by then.
-  const std::vector<PlacedRecord> kept{
-    { 10, 0s, Renewal(1, "A") },
-    { 11, 0s, File("lost", 1, "X") },
-    { 12, 0s, Renewal(5, "B") },
+  const std::vector<LoggedRecord> records{
+    { 10, 0s, MakeRenewal(1, "A") },
+    { 11, 0s, MakeFile("lost", 1, "X") },
+    { 12, 0s, MakeRenewal(5, "B") },
   };
-  m_replay.Bootstrap(kept);
+  m_replay.Bootstrap(records);
   STRCMP_EQUAL("B", BodyOf(m_replay).c_str());
-  LONGS_EQUAL(5, m_replay.Find("s")->m_accepted);
+  LONGS_EQUAL(5, m_replay.Find("s")->m_acceptedOffset);
 }
 
-TEST(ConfigReplay, AnOlderPeerChangesNothing)
+TEST(ConfigReplay, StateOfOlderPeerIsIgnored)
 {
-  m_replay.Apply({ 1, 0s, File("a", 0, "A") });
+  m_replay.Apply({ 1, 0s, MakeFile("a", 0, "A") });
   replay::ConfigReplay peer;
-  const auto old = m_replay.Since(0);
-  m_replay.Apply({ 2, 0s, File("b", 1, "B") });
-  LONGS_EQUAL(0, m_replay.Adopt(1, old).size());
-  LONGS_EQUAL(0, m_replay.Adopt(9, old).size());
-  LONGS_EQUAL(1, peer.Adopt(2, m_replay.Since(0)).size());
+  const auto old = m_replay.AcceptedSince(0);
+  m_replay.Apply({ 2, 0s, MakeFile("b", 1, "B") });
+  LONGS_EQUAL(0, m_replay.Merge(1, old).size());
+  LONGS_EQUAL(0, m_replay.Merge(9, old).size());
+  LONGS_EQUAL(1, peer.Merge(2, m_replay.AcceptedSince(0)).size());
   STRCMP_EQUAL("B", BodyOf(peer).c_str());
 }
 
-TEST(ConfigReplay, AnUnknownSchemaKeepsTheLastContentAndIsReported)
+TEST(ConfigReplay, UnsupportedSchemaKeepsLastContentAndIsReported)
 {
-  m_replay.Apply({ 1, 0s, File("a", 0, "A") });
-  m_replay.Apply({ 2, 0s, File("b", 1, "B", 2) });
+  m_replay.Apply({ 1, 0s, MakeFile("a", 0, "A") });
+  m_replay.Apply({ 2, 0s, MakeFile("b", 1, "B", 2) });
   STRCMP_EQUAL("A", BodyOf(m_replay).c_str());
-  CHECK(m_replay.IsBehind());
-  CHECK(std::holds_alternative<replay::Accepted>(m_replay.Apply({ 3, 0s, File("c", 2, "C") })));
-  CHECK_FALSE(m_replay.IsBehind());
+  CHECK(m_replay.HasUnsupportedSchema());
+  CHECK(std::holds_alternative<replay::Accepted>(m_replay.Apply({ 3, 0s, MakeFile("c", 2, "C") })));
+  CHECK_FALSE(m_replay.HasUnsupportedSchema());
 }
 
-TEST(ConfigReplay, ADigestThatDoesNotMatchIsRejected)
+TEST(ConfigReplay, FileWithWrongDigestIsRejected)
 {
-  auto bad = File("a", 0, "A");
+  auto bad = MakeFile("a", 0, "A");
   bad.m_body = "tampered";
   CHECK(std::holds_alternative<replay::Rejected>(m_replay.Apply({ 1, 0s, bad })));
 }
 
-TEST(ConfigReplay, RenewsWhatIsAboutToLeaveTheLog)
+TEST(ConfigReplay, RenewsFilesBeforeTheyLeaveTheLog)
 {
-  m_replay.Apply({ 1, 10s, File("a", 0, "A") });
+  m_replay.Apply({ 1, 10s, MakeFile("a", 0, "A") });
   LONGS_EQUAL(0, m_replay.DueRenewals(59s, 50s).size());
   const auto due = m_replay.DueRenewals(60s, 50s);
   LONGS_EQUAL(1, due.size());
@@ -118,46 +119,46 @@
   LONGS_EQUAL(0, m_replay.DueRenewals(61s, 50s).size());
 }
 
-TEST(ConfigReplay, RecordsSurviveTheirEncoding)
+TEST(ConfigReplay, EncodedRecordsRoundTrip)
 {
-  const auto back = replay::Decode(replay::Encode(File("a", 3, "B\n")));
+  const auto back = replay::Decode(replay::Encode(MakeFile("a", 3, "B\n")));
   STRCMP_EQUAL("B\n", std::get<FileRecord>(*back).m_body.c_str());
   CHECK(replay::Decode("{}").error().m_code == base::ErrorCode::PlatformMalformed);
 }
 
 // Differential: operators race, paused hosts renew stale files, the log forgets its head. A reader
 // of what is kept must agree with one that has read everything.
-TEST(ConfigReplay, AFreshReaderAgreesWithAReaderOfEverything)
+TEST(ConfigReplay, ReaderOfRetainedLogMatchesReaderOfWholeLog)
 {
   const bool holds = rc::check("bootstrap", [] {
     constexpr std::size_t kRetention = 30;
-    replay::ConfigReplay all;
-    std::vector<PlacedRecord> log;
+    replay::ConfigReplay full;
+    std::vector<LoggedRecord> log;
     std::vector<std::pair<replay::LogOffset, std::string>> history;
     replay::LogOffset lastCopy = 0;
     const auto steps =
       *rc::gen::resize(100, rc::gen::container<std::vector<int>>(150, rc::gen::inRange(0, 100)));
     for (std::size_t i = 0; i < steps.size(); ++i) {
       const replay::LogOffset offset = i + 1;
-      const auto* state = all.Find("s");
-      const replay::LogOffset accepted = state == nullptr ? 0 : state->m_accepted;
+      const auto* state = full.Find("s");
+      const replay::LogOffset accepted = state == nullptr ? 0 : state->m_acceptedOffset;
       const bool mustRenew = accepted > 0 && offset - lastCopy > kRetention / 2;
-      PlacedRecord placed{ offset, 0s, File("x", accepted, "body" + std::to_string(i)) };
+      LoggedRecord logged{ offset, 0s, MakeFile("x", accepted, "body" + std::to_string(i)) };
       if (mustRenew) {
-        placed.m_record = Renewal(accepted, state->m_body);
+        logged.m_record = MakeRenewal(accepted, state->m_body);
       } else if (!history.empty() && steps[i] < 30) {
         const auto& [old, body] = history[static_cast<std::size_t>(steps[i]) % history.size()];
-        placed.m_record = Renewal(old, body);
+        logged.m_record = MakeRenewal(old, body);
       } else if (!history.empty() && steps[i] < 60) {
         const auto& [old, body] = history[static_cast<std::size_t>(steps[i]) % history.size()];
-        placed.m_record = File("late", old, "late" + std::to_string(i));
+        logged.m_record = MakeFile("late", old, "late" + std::to_string(i));
       } else if (steps[i] < 85) {
-        placed.m_record = RenewRecord{ "other", 0, "", "", 1 };
+        logged.m_record = RenewRecord{ "other", 0, "", "", 1 };
       }
-      const auto outcome = all.Apply(placed);
-      log.push_back(placed);
+      const auto outcome = full.Apply(logged);
+      log.push_back(logged);
       if (std::holds_alternative<replay::Accepted>(outcome)) {
-        history.emplace_back(offset, all.Find("s")->m_body);
+        history.emplace_back(offset, full.Find("s")->m_body);
         lastCopy = offset;
       }
       if (mustRenew) {
@@ -168,13 +169,13 @@
     const std::size_t from = log.size() - kRetention;
     replay::ConfigReplay fresh;
     fresh.Bootstrap(std::span(log).subspan(from));
-    RC_ASSERT(fresh.Find("s")->m_accepted == all.Find("s")->m_accepted);
-    RC_ASSERT(BodyOf(fresh) == BodyOf(all));
+    RC_ASSERT(fresh.Find("s")->m_acceptedOffset == full.Find("s")->m_acceptedOffset);
+    RC_ASSERT(BodyOf(fresh) == BodyOf(full));
   });
   CHECK(holds);
 }
 
-TEST(ConfigReplay, TheRegistryReplacesOneScopeAtATime)
+TEST(ConfigReplay, RegistryReplacesOneScopeAtATime)
 {
   replay::Registry registry;
   const auto make =
--- a/src/ferrytray/replay/record.cpp
+++ b/src/ferrytray/replay/record.cpp
@@ -13,7 +13,7 @@
   return { { "t", "file" },
            { "id", aFile.m_id },
            { "scope", aFile.m_scope },
-           { "base", aFile.m_base },
+           { "base", aFile.m_baseOffset },
            { "digest", aFile.m_digest },
            { "body", aFile.m_body },
            { "schema", aFile.m_schema } };
@@ -23,7 +23,7 @@
 {
   return { { "t", "renew" },
            { "scope", aRenew.m_scope },
-           { "accepted", aRenew.m_accepted },
+           { "accepted", aRenew.m_acceptedOffset },
            { "digest", aRenew.m_digest },
            { "body", aRenew.m_body },
            { "schema", aRenew.m_schema } };
--- a/src/ferrytray/replay/registry.cpp
+++ b/src/ferrytray/replay/registry.cpp
@@ -28,73 +28,73 @@
 {
   DocumentPtr& slot = m_scopes[aDocument->m_scope];
   if (slot) {
-    Unlink(*slot);
+    RemoveFromIndexes(*slot);
   }
   slot = std::move(aDocument);
-  Link(*slot);
+  AddToIndexes(*slot);
 }
 
-void Registry::Unlink(const config::Document& aDocument)
+void Registry::RemoveFromIndexes(const config::Document& aDocument)
 {
   for (const auto& account : aDocument.m_accounts) {
     for (const std::string& digest : account.m_keyDigests) {
-      EraseIfSame(m_byKey, digest, &account);
+      EraseIfSame(m_accountByKeyDigest, digest, &account);
     }
   }
   for (const auto& fleet : aDocument.m_fleets) {
-    EraseIfSame(m_byModel, fleet.m_model, &fleet);
+    EraseIfSame(m_fleetByModel, fleet.m_model, &fleet);
   }
   for (const auto& service : aDocument.m_services) {
-    EraseIfSame(m_byPrefix, service.m_pathPrefix, &service);
+    EraseIfSame(m_serviceByPrefix, service.m_pathPrefix, &service);
   }
   for (const auto& rule : aDocument.m_rules) {
-    EraseIfSame(m_fleetRules, rule.m_fleet.value_or(""), &rule);
-    EraseIfSame(m_accountRules, rule.m_account.value_or(""), &rule);
+    EraseIfSame(m_ruleByFleet, rule.m_fleet.value_or(""), &rule);
+    EraseIfSame(m_ruleByAccount, rule.m_account.value_or(""), &rule);
   }
 }
 
-void Registry::Link(const config::Document& aDocument)
+void Registry::AddToIndexes(const config::Document& aDocument)
 {
   // emplace: where two scopes raced with one name, the one in force first keeps it.
   for (const auto& account : aDocument.m_accounts) {
     for (const std::string& digest : account.m_keyDigests) {
-      m_byKey.emplace(digest, &account);
+      m_accountByKeyDigest.emplace(digest, &account);
     }
   }
   for (const auto& fleet : aDocument.m_fleets) {
-    m_byModel.emplace(fleet.m_model, &fleet);
+    m_fleetByModel.emplace(fleet.m_model, &fleet);
   }
   for (const auto& service : aDocument.m_services) {
-    m_byPrefix.emplace(service.m_pathPrefix, &service);
+    m_serviceByPrefix.emplace(service.m_pathPrefix, &service);
   }
   for (const auto& rule : aDocument.m_rules) {
     if (rule.m_fleet) {
-      m_fleetRules.emplace(*rule.m_fleet, &rule);
+      m_ruleByFleet.emplace(*rule.m_fleet, &rule);
     }
     if (rule.m_account) {
-      m_accountRules.emplace(*rule.m_account, &rule);
+      m_ruleByAccount.emplace(*rule.m_account, &rule);
     }
   }
 }
 
 const config::ClientAccount* Registry::AccountByKey(const std::string& aKeyDigest) const
 {
-  return FindOrNull(m_byKey, aKeyDigest);
+  return FindOrNull(m_accountByKeyDigest, aKeyDigest);
 }
 
 const config::Fleet* Registry::FleetByModel(const std::string& aModel) const
 {
-  return FindOrNull(m_byModel, aModel);
+  return FindOrNull(m_fleetByModel, aModel);
 }
 
 const config::Service* Registry::ServiceByPath(std::string_view aPath) const
 {
   const config::Service* best = nullptr;
-  for (const auto& [prefix, service] : m_byPrefix) {
-    const bool starts = aPath.substr(0, prefix.size()) == prefix;
+  for (const auto& [prefix, service] : m_serviceByPrefix) {
+    const bool hasPrefix = aPath.substr(0, prefix.size()) == prefix;
     const bool atBoundary =
       aPath.size() == prefix.size() || aPath[std::min(prefix.size(), aPath.size() - 1)] == '/';
-    if (starts && atBoundary) {
+    if (hasPrefix && atBoundary) {
       best = service;
     }
   }
@@ -103,30 +103,30 @@
 
 const config::HalfRule* Registry::RuleForFleet(const std::string& aFleet) const
 {
-  return FindOrNull(m_fleetRules, aFleet);
+  return FindOrNull(m_ruleByFleet, aFleet);
 }
 
 const config::HalfRule* Registry::RuleForAccount(const std::string& aAccount) const
 {
-  return FindOrNull(m_accountRules, aAccount);
+  return FindOrNull(m_ruleByAccount, aAccount);
 }
 
-std::vector<config::Document> Registry::Others(const std::string& aScope) const
+std::vector<config::Document> Registry::OtherDocuments(const std::string& aScope) const
 {
-  std::vector<config::Document> others;
+  std::vector<config::Document> documents;
   for (const auto& [name, document] : m_scopes) {
     if (name != aScope) {
-      others.push_back(*document);
+      documents.push_back(*document);
     }
   }
-  return others;
+  return documents;
 }
 
 std::vector<const config::Fleet*> Registry::Fleets() const
 {
   std::vector<const config::Fleet*> fleets;
-  fleets.reserve(m_byModel.size());
-  for (const auto& [model, fleet] : m_byModel) {
+  fleets.reserve(m_fleetByModel.size());
+  for (const auto& [model, fleet] : m_fleetByModel) {
     fleets.push_back(fleet);
   }
   return fleets;
@@ -135,15 +135,15 @@
 std::vector<const config::HalfRule*> Registry::Rules() const
 {
   std::vector<const config::HalfRule*> rules;
-  for (const auto* index : { &m_fleetRules, &m_accountRules }) {
-    for (const auto& [covered, rule] : *index) {
+  for (const auto* index : { &m_ruleByFleet, &m_ruleByAccount }) {
+    for (const auto& [key, rule] : *index) {
       rules.push_back(rule);
     }
   }
   return rules;
 }
 
-const config::Document* Registry::Scope(const std::string& aScope) const
+const config::Document* Registry::FindDocument(const std::string& aScope) const
 {
   const auto found = m_scopes.find(aScope);
   return found == m_scopes.end() ? nullptr : found->second.get();
--- a/src/ferrytray/wire/frames.cpp
+++ b/src/ferrytray/wire/frames.cpp
@@ -106,8 +106,8 @@
 template<typename Archive>
 void serialize(Archive& aArchive, ScopeState& aScope)
 {
-  aArchive(aScope.m_scope, aScope.m_accepted, aScope.m_digest, aScope.m_body);
-  aArchive(aScope.m_keptSince, aScope.m_schemaKnown);
+  aArchive(aScope.m_scope, aScope.m_acceptedOffset, aScope.m_digest, aScope.m_body);
+  aArchive(aScope.m_newestCopyTime, aScope.m_schemaSupported);
 }
 
 } // namespace ferrytray::replay
--- a/tools/cli_apply.cpp
+++ b/tools/cli_apply.cpp
@@ -26,7 +26,7 @@
 struct StreamState
 {
   replay::ConfigReplay m_replay;
-  std::vector<replay::PlacedRecord> m_records;
+  std::vector<replay::LoggedRecord> m_records;
   std::vector<replay::ReplayOutcome> m_outcomes;
 };
 
@@ -94,7 +94,7 @@
   std::vector<config::Document> documents;
   for (const auto& [name, scope] : aReplay.Scopes()) {
     auto parsed = config::Parse(scope.m_body, name);
-    if (name != aBut && scope.m_accepted > 0 && parsed) {
+    if (name != aBut && scope.m_acceptedOffset > 0 && parsed) {
       documents.push_back(std::move(*parsed));
     }
   }
@@ -181,7 +181,7 @@
   }
   const replay::ScopeState* current = before->m_replay.Find(scope);
   const replay::FileRecord record{
-    base::RandomHex128(),          scope,        current == nullptr ? 0 : current->m_accepted,
+    base::RandomHex128(),          scope,        current == nullptr ? 0 : current->m_acceptedOffset,
     base::Sha256Hex(aFile.m_text), aFile.m_text, config::kSchema
   };
   const auto appended = AppendFile(aSettings, record);
@@ -199,7 +199,7 @@
   }
   if (const auto* rejected = std::get_if<replay::Rejected>(&own->second)) {
     std::cout << aFile.m_name << ": rejected: " << rejected->m_reason << "; scope '" << scope
-              << "' is at offset " << rejected->m_expectedBase << " (error "
+              << "' is at offset " << rejected->m_expectedBaseOffset << " (error "
               << static_cast<int>(base::ErrorCode::ConfigConflict) << ")\n";
     return settings::kExitFailed;
   }
@@ -239,7 +239,7 @@
   for (const LoadedFile& file : loaded) {
     config::Document before;
     const replay::ScopeState* scope = stream->m_replay.Find(file.m_document.m_scope);
-    if (scope != nullptr && scope->m_accepted > 0) {
+    if (scope != nullptr && scope->m_acceptedOffset > 0) {
       before = config::Parse(scope->m_body, scope->m_scope).value_or(config::Document{});
     }
     std::cout << file.m_name << " (scope " << file.m_document.m_scope << ")\n";
--- a/tools/load_parts.cpp
+++ b/tools/load_parts.cpp
@@ -79,7 +79,7 @@
     const std::string scope = "account-" + std::to_string(aNumber);
     const auto* state = replay.Find(scope);
     const replay::FileRecord file{
-      "id", scope, state == nullptr ? 0 : state->m_accepted, base::Sha256Hex(body), body, 1
+      "id", scope, state == nullptr ? 0 : state->m_acceptedOffset, base::Sha256Hex(body), body, 1
     };
     replay.Apply({ aOffset, {}, file });
   };
