--- a/include/ferrytray/replay/config_replay.hpp
+++ b/include/ferrytray/replay/config_replay.hpp
@@ -12,24 +12,25 @@
 
 namespace ferrytray::replay {
 
-/// @brief What is in force for one scope.
+/// @brief The accepted configuration of one scope.
 struct ScopeState
 {
   std::string m_scope;
-  LogOffset m_acceptedOffset = 0; ///< the offset of the file in force
+  LogOffset m_acceptedOffset = 0; ///< log offset of the accepted file; 0 if there is none
   std::string m_digest;
   std::string m_body;
-  base::Duration m_newestCopyTime{}; ///< platform time of its newest copy in the log
-  bool m_schemaSupported = true; ///< false: the body is the last one that this program could read
+  base::Duration m_newestCopyTime{}; ///< platform time of the newest copy of the file in the log
+  bool m_schemaSupported = true;     ///< if false, m_body is the last one with a supported schema
 };
 
-/// @brief The file is in force now.
+/// @brief The file was accepted and is now in force.
 struct Accepted
 {
   std::string m_id;
   std::string m_scope;
 };
-/// @brief The file lost a race, or its bytes do not match their digest.
+/// @brief The file does not replace the accepted one (a concurrent file was first), or its body
+/// does not match its digest.
 struct Rejected
 {
   std::string m_id;
@@ -37,14 +38,14 @@
   LogOffset m_expectedBaseOffset = 0;
   std::string m_reason;
 };
-/// @brief A renewal, or a record that was seen before.
+/// @brief The record was applied before, or is a renewal that does not change the state.
 struct Unchanged
 {
 };
 
 using ReplayOutcome = std::variant<Accepted, Rejected, Unchanged>;
 
-/// @brief A record with its place and platform time.
+/// @brief A record with its log offset and platform time.
 struct LoggedRecord
 {
   LogOffset m_offset = 0;
@@ -54,42 +55,45 @@
 
 /// @brief Replays the configuration stream; every reader reaches the same state.
 ///
-/// A file is accepted iff it builds on its scope's last accepted one and matches its digest;
-/// nothing else counts, so hosts of different program versions agree. The content of a file is
-/// checked before it is appended. A change costs its own size, not that of the whole state.
+/// A file is accepted if and only if its base is the accepted file of its scope and its body
+/// matches its digest. The content is not looked at, so hosts of different program versions agree;
+/// it is validated before the file is appended. The cost of a change depends on the size of the
+/// change, not on that of the whole state.
 class ConfigReplay
 {
 public:
-  /// @param aNewestSupportedSchema files of a newer schema are accepted but keep the old content in
-  /// use
+  /// @param aNewestSupportedSchema files with a newer schema are accepted, but the previous content
+  /// stays in use
   explicit ConfigReplay(int aNewestSupportedSchema = 1)
     : m_newestSupportedSchema(aNewestSupportedSchema)
   {
   }
 
-  /// @brief Starts from what the log still keeps.
+  /// @brief Initialises the state from the records that the log still retains.
   ///
-  /// A scope's state below the first kept offset is the highest one that any kept record stands
-  /// for or builds on; a stale renewal (a paused host's) can then not be mistaken for it.
-  /// @return one outcome a record
+  /// If the accepted file of a scope precedes the first retained record, its offset is the highest
+  /// such offset that any retained record renews or replaces. A stale renewal, as written by a host
+  /// that was paused, is therefore not taken for the accepted file.
+  /// @return one outcome per record
   std::vector<ReplayOutcome> Bootstrap(std::span<const LoggedRecord> aRecords);
 
-  /// @brief Applies the next record. Offsets at or below Position() change nothing.
+  /// @brief Applies the next record. Records at or below Position() are ignored.
   ReplayOutcome Apply(const LoggedRecord& aRecord);
 
-  /// @brief Takes a peer's newer state. An older one, scope by scope, changes nothing.
+  /// @brief Merges a peer's state if its position is newer; only its newer scopes are taken over.
   /// @return the scopes that changed
   std::vector<std::string> Merge(LogOffset aPosition, std::span<const ScopeState> aScopes);
 
-  /// @brief The offset up to which the log has been replayed.
+  /// @brief Returns the offset up to which the log was replayed.
   [[nodiscard]] LogOffset Position() const { return m_position; }
   [[nodiscard]] const ScopeState* Find(const std::string& aScope) const;
   [[nodiscard]] const std::map<std::string, ScopeState>& Scopes() const { return m_scopes; }
-  /// @brief Scopes whose file was accepted above an offset.
+  /// @brief Returns the scopes whose file was accepted after an offset.
   [[nodiscard]] std::vector<ScopeState> AcceptedSince(LogOffset aOffset) const;
-  /// @brief Whether a record needs a newer program; the host then reports itself behind.
+  /// @brief Returns whether a scope's file needs a newer program; the host then reports itself as
+  /// behind.
   [[nodiscard]] bool HasUnsupportedSchema() const;
-  /// @brief Scopes whose newest copy in the log is older than an age.
+  /// @brief Returns renewals for the scopes whose newest copy in the log has at least this age.
   [[nodiscard]] std::vector<RenewRecord> DueRenewals(base::Duration aNow,
                                                      base::Duration aMinAge) const;
 
@@ -106,7 +110,8 @@
   int m_newestSupportedSchema;
   LogOffset m_position = 0;
   std::map<std::string, ScopeState> m_scopes;
-  std::map<LogOffset, std::string> m_scopeByOffset; ///< so that Since costs what it gives
+  /// Makes the cost of AcceptedSince proportional to its result.
+  std::map<LogOffset, std::string> m_scopeByOffset;
 };
 
 } // namespace ferrytray::replay
--- a/include/ferrytray/replay/registry.hpp
+++ b/include/ferrytray/replay/registry.hpp
@@ -12,22 +12,22 @@
 
 namespace ferrytray::replay {
 
-/// @brief Everything in force, found by what a request carries.
+/// @brief Indexes the configuration in force by the keys that requests carry.
 ///
-/// Replacing a scope costs the size of that scope alone.
+/// The cost of replacing a scope depends only on the size of that scope.
 class Registry
 {
 public:
   using DocumentPtr = std::shared_ptr<const config::Document>;
 
-  /// @brief Replaces one scope's content.
+  /// @brief Replaces the content of one scope.
   void Put(DocumentPtr aDocument);
 
   /// @param aKeyDigest SHA-256 of a bearer key, hexadecimal
-  /// @return null when no account has that key
+  /// @return the account, or null if no account has that key
   [[nodiscard]] const config::ClientAccount* AccountByKey(const std::string& aKeyDigest) const;
   [[nodiscard]] const config::Fleet* FleetByModel(const std::string& aModel) const;
-  /// @brief The service with the longest prefix of a path, or null.
+  /// @brief Returns the service with the longest matching path prefix, or null.
   [[nodiscard]] const config::Service* ServiceByPath(std::string_view aPath) const;
   [[nodiscard]] const config::HalfRule* RuleForFleet(const std::string& aFleet) const;
   [[nodiscard]] const config::HalfRule* RuleForAccount(const std::string& aAccount) const;
--- a/src/ferrytray/replay/config_replay.cpp
+++ b/src/ferrytray/replay/config_replay.cpp
@@ -14,7 +14,7 @@
                     aRecord);
 }
 
-/// The accepted offset that a record proves to have been in force once.
+/// Returns the accepted offset that a record refers to: the file it replaces or renews.
 LogOffset ReferencedOffset(const ConfigRecord& aRecord)
 {
   if (const auto* file = std::get_if<FileRecord>(&aRecord)) {
@@ -61,12 +61,15 @@
   ScopeState& scope = m_scopes[aFile.m_scope];
   scope.m_scope = aFile.m_scope;
   if (aFile.m_baseOffset != scope.m_acceptedOffset) {
-    return Rejected{
-      aFile.m_id, aFile.m_scope, scope.m_acceptedOffset, "built on a file that is not in force"
-    };
+    return Rejected{ aFile.m_id,
+                     aFile.m_scope,
+                     scope.m_acceptedOffset,
+                     "its base is not the accepted file of the scope" };
   }
   if (base::Sha256Hex(aFile.m_body) != aFile.m_digest) {
-    return Rejected{ aFile.m_id, aFile.m_scope, scope.m_acceptedOffset, "digest does not match" };
+    return Rejected{
+      aFile.m_id, aFile.m_scope, scope.m_acceptedOffset, "the digest does not match the body"
+    };
   }
   Install(scope, aLogged.m_offset, aFile.m_digest, aFile.m_body, aFile.m_schema);
   scope.m_newestCopyTime = aLogged.m_time;
@@ -163,7 +166,7 @@
 {
   std::vector<RenewRecord> due;
   for (const auto& [name, scope] : m_scopes) {
-    // A body that this program cannot read is left to hosts that can.
+    // Files with an unsupported schema are renewed by hosts that support it.
     if (scope.m_acceptedOffset == 0 || !scope.m_schemaSupported || scope.m_body.empty() ||
         aNow - scope.m_newestCopyTime < aMinAge) {
       continue;
--- a/src/ferrytray/replay/config_replay_test.cpp
+++ b/src/ferrytray/replay/config_replay_test.cpp
@@ -69,7 +69,8 @@
 
 TEST(ConfigReplay, BootstrapIgnoresStaleRenewal)
 {
-  // The log begins at 10. A paused host renewed offset 1 at 10, although 5 was in force by then.
+  // The log begins at 10. A paused host renewed offset 1 at 10, although the file at 5 had replaced
+  // it.
   const std::vector<LoggedRecord> records{
     { 10, 0s, MakeRenewal(1, "A") },
     { 11, 0s, MakeFile("lost", 1, "X") },
@@ -126,8 +127,8 @@
   CHECK(replay::Decode("{}").error().m_code == base::ErrorCode::PlatformMalformed);
 }
 
-// Differential: operators race, paused hosts renew stale files, the log forgets its head. A reader
-// of what is kept must agree with one that has read everything.
+// Random logs with concurrent files, stale renewals by paused hosts and a limited retention. A
+// reader of the retained records must reach the same state as a reader of the whole log.
 TEST(ConfigReplay, ReaderOfRetainedLogMatchesReaderOfWholeLog)
 {
   const bool holds = rc::check("bootstrap", [] {
--- a/src/ferrytray/replay/record.cpp
+++ b/src/ferrytray/replay/record.cpp
@@ -57,7 +57,7 @@
       };
     }
     return base::Fail(base::ErrorCode::PlatformMalformed,
-                      "configuration record of kind '" + kind + "'");
+                      "configuration record of unknown type '" + kind + "'");
   } catch (const std::exception& error) {
     return base::Fail(base::ErrorCode::PlatformMalformed,
                       std::string("configuration record: ") + error.what());
--- a/src/ferrytray/replay/registry.cpp
+++ b/src/ferrytray/replay/registry.cpp
@@ -55,7 +55,7 @@
 
 void Registry::AddToIndexes(const config::Document& aDocument)
 {
-  // emplace: where two scopes raced with one name, the one in force first keeps it.
+  // emplace: if two scopes concurrently defined the same name, the one applied first keeps it.
   for (const auto& account : aDocument.m_accounts) {
     for (const std::string& digest : account.m_keyDigests) {
       m_accountByKeyDigest.emplace(digest, &account);
