--- a/include/ferrytray/relay/relay_host.hpp
+++ b/include/ferrytray/relay/relay_host.hpp
@@ -45,7 +45,7 @@
   const WireFormat& m_wire;
   const RecordFormat& m_records;
   store::RecordLog& m_log;
-  rollout::OrderSink& m_orders;
+  rollout::EngineClient& m_orders;
   cache::StoreFeed& m_stores;
   PartFreer& m_freer;
 };
--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -5,7 +5,7 @@
 
 #include "ferrytray/cache/store_upkeep.hpp"  // for StoreUpkeep, FreeParts
 #include "ferrytray/relay/relay_core.hpp"    // for RelayCore
-#include "ferrytray/rollout/leased_duty.hpp" // for LeasedDuty
+#include "ferrytray/rollout/leased_task.hpp" // for LeasedTask
 
 namespace ferrytray::relay {
 
@@ -18,7 +18,7 @@
 };
 
 /// @brief Frees stored parts that nobody will ask for again; one host at a time.
-class UpkeepDuty final : public rollout::LeasedDuty
+class UpkeepDuty final : public rollout::LeasedTask
 {
 public:
   UpkeepDuty(RelayCore& aCore, PartFreer& aFreer)
@@ -27,8 +27,8 @@
   {
   }
 
-  [[nodiscard]] bool Pending(base::TimePoint aNow) override;
-  void Act(base::TimePoint aNow) override;
+  [[nodiscard]] bool HasWork(base::TimePoint aNow) override;
+  void DoWork(base::TimePoint aNow) override;
 
 private:
   RelayCore& m_core;
--- a/include/ferrytray/rollout/order_sink.hpp
+++ b/include/ferrytray/rollout/engine_client.hpp
@@ -20,10 +20,10 @@
 /// @brief How an engine answered an order.
 enum class OrderReply : std::uint8_t
 {
-  Accepted, ///< it is being carried out
-  Holds,    ///< nothing had to be done
-  Refused,  ///< another order is in progress, or the engine's state is not the expected one
-  Unknown,  ///< no answer: it may be carried out, perhaps seconds later
+  Accepted,      ///< it is being carried out
+  AlreadyLoaded, ///< nothing had to be done
+  Refused,       ///< another order is in progress, or the engine's state is not the expected one
+  Unknown,       ///< no answer: it may be carried out, perhaps seconds later
 };
 
 /// @brief "Run this version", for one incarnation of an engine.
@@ -37,10 +37,10 @@
 };
 
 /// @brief How orders reach engines.
-class OrderSink
+class EngineClient
 {
 public:
-  virtual ~OrderSink() = default;
+  virtual ~EngineClient() = default;
   virtual void ReadState(const fleet::Endpoint& aEngine,
                          const std::string& aModel,
                          std::function<void(std::optional<EngineState>)> aDone) = 0;
--- a/include/ferrytray/rollout/leased_duty.hpp
+++ b/include/ferrytray/rollout/leased_task.hpp
@@ -5,14 +5,14 @@
 namespace ferrytray::rollout {
 
 /// @brief Work that only the host with the order lease may do.
-class LeasedDuty
+class LeasedTask
 {
 public:
-  virtual ~LeasedDuty() = default;
+  virtual ~LeasedTask() = default;
   /// @brief Whether there is something to do, so that the lease is worth taking.
-  [[nodiscard]] virtual bool Pending(base::TimePoint aNow) = 0;
+  [[nodiscard]] virtual bool HasWork(base::TimePoint aNow) = 0;
   /// @brief Does what is due. Called only while the lease holds.
-  virtual void Act(base::TimePoint aNow) = 0;
+  virtual void DoWork(base::TimePoint aNow) = 0;
 };
 
 } // namespace ferrytray::rollout
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -84,7 +84,7 @@
     return m_news.IsAmong(aName, aFirst);
   };
   m_news.OwnLoads([this] { return OwnLoads(); });
-  m_news.OnReloads([this] { m_rollout.NoteOthersOrder(base::MonotonicNow()); });
+  m_news.OnReloads([this] { m_rollout.NoteOrderByOtherHost(base::MonotonicNow()); });
   m_feeds.OnConfigured([this] {
     m_stores.OnConfiguration();
     if (!m_core.m_crashesLoaded && !m_withoutQuarantine) {
@@ -96,7 +96,7 @@
     return news;
   }
   m_rollout.SetStandby(true); // until it is known to be one of those that read
-  m_rollout.AddDuty(m_upkeep);
+  m_rollout.AddLeasedTask(m_upkeep);
   m_rollout.OnReload([this](const rollout::PlannedReload& aReload) { OnReload(aReload); });
   m_rollout.Start();
   telemetry::LogLine("start")
@@ -243,7 +243,7 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   const auto left =
-    std::chrono::duration_cast<std::chrono::milliseconds>(aReload.m_until - now).count();
+    std::chrono::duration_cast<std::chrono::milliseconds>(aReload.m_expectedEnd - now).count();
   m_core.m_reloads.OnNotice({ peers::TagOf(aReload.m_incarnation),
                               aReload.m_model,
                               aReload.m_version,
--- a/src/ferrytray/relay/upkeep_duty.cpp
+++ b/src/ferrytray/relay/upkeep_duty.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-bool UpkeepDuty::Pending(base::TimePoint aNow)
+bool UpkeepDuty::HasWork(base::TimePoint aNow)
 {
   // Looked at again though something is due: another host may have done it meanwhile.
   if (aNow >= m_lookedAt + kLookEvery) {
@@ -36,7 +36,7 @@
   return !m_due.empty();
 }
 
-void UpkeepDuty::Act(base::TimePoint aNow)
+void UpkeepDuty::DoWork(base::TimePoint aNow)
 {
   for (const cache::FreeParts& parts : std::exchange(m_due, {})) {
     m_upkeep.OnAsked(parts.m_store, aNow);
--- a/src/ferrytray/rollout/rollout_driver.cpp
+++ b/src/ferrytray/rollout/rollout_driver.cpp
@@ -12,24 +12,24 @@
 
 /// After this an order without visible effect is given again (an answer may be lost, and a late
 /// execution takes up to 12 s, but then the engine's order count has moved on).
-constexpr base::Duration kConfirmWithin = std::chrono::milliseconds(3000);
+constexpr base::Duration kConfirmTimeout = std::chrono::milliseconds(3000);
 
 } // namespace
 
 RolloutDriver::RolloutDriver(net::Loop& aLoop,
                              store::RecordLog& aLog,
                              fleet::Directory& aDirectory,
-                             OrderSink& aSink,
+                             EngineClient& aEngineClient,
                              const std::map<std::string, fleet::WeightVersion>& aWanted,
                              RolloutOptions aOptions)
   : m_loop(aLoop)
   , m_log(aLog)
   , m_directory(aDirectory)
-  , m_sink(aSink)
+  , m_engineClient(aEngineClient)
   , m_wanted(aWanted)
   , m_options(std::move(aOptions))
   , m_lease(m_options.m_self, m_options.m_lease)
-  , m_usualLoad(m_options.m_usualLoad)
+  , m_expectedLoadTime(m_options.m_expectedLoadTime)
 {
 }
 
@@ -39,7 +39,7 @@
   if (!m_standby) {
     ReadLease();
   }
-  m_timer = m_loop.Every(m_options.m_tick, [this] { Tick(); });
+  m_timer = m_loop.Every(m_options.m_tickInterval, [this] { Tick(); });
 }
 
 void RolloutDriver::Stop()
@@ -51,43 +51,46 @@
 void RolloutDriver::Tick()
 {
   const base::TimePoint now = base::MonotonicNow();
-  if (now - m_lastTick > m_options.m_stall) {
+  if (now - m_lastTick > m_options.m_maxTickGap) {
     telemetry::LogLine("order_lease").Add("outcome", "dropped").Add("why", "process stood still");
     m_lease.Drop();
   }
   m_lastTick = now;
-  const bool behind = EnginesBehind();
-  if (!behind) {
-    m_behindSince.clear();
+  const bool outdated = HasOutdatedEngines();
+  if (!outdated) {
+    m_outdatedSince.clear();
   }
-  if (!behind && !DutiesPending(now)) {
-    m_tryFrom.reset();
+  if (!outdated && !HasTaskWork(now)) {
+    m_leaseAttemptAt.reset();
     return;
   }
   for (const auto& [model, version] : m_wanted) {
-    m_behindSince.try_emplace(model, now);
+    m_outdatedSince.try_emplace(model, now);
   }
-  if (!m_tryFrom) {
-    const base::Duration most = behind ? m_options.m_spread : m_options.m_dutySpread;
-    const auto spread = static_cast<std::uint64_t>(most.count());
-    m_tryFrom = now + base::Duration(m_wasHolder ? 0 : std::random_device{}() % (spread + 1));
+  if (!m_leaseAttemptAt) {
+    const base::Duration maxJitter =
+      outdated ? m_options.m_leaseJitter : m_options.m_taskLeaseJitter;
+    const auto jitter = static_cast<std::uint64_t>(maxJitter.count());
+    m_leaseAttemptAt =
+      now + base::Duration(m_wasHolder ? 0 : std::random_device{}() % (jitter + 1));
     if (m_standby && !m_wasHolder) {
-      *m_tryFrom += base::FromSeconds(m_options.m_standbyAfter * base::Seconds(m_options.m_due));
+      *m_leaseAttemptAt += base::FromSeconds(m_options.m_standbyFraction *
+                                             base::Seconds(m_options.m_rolloutTimeLimit));
     }
   }
-  if (now < *m_tryFrom || OthersOrder(now)) {
+  if (now < *m_leaseAttemptAt || IsOtherHostOrdering(now)) {
     return;
   }
-  KeepLease(now);
+  MaintainLease(now);
   if (!m_lease.MayOrder(now)) {
     return;
   }
   for (const auto& [model, version] : m_wanted) {
-    SendAnnounced(model, version);
-    Drive(model, version, now);
+    SendAnnouncedOrders(model, version);
+    PlanSwaps(model, version, now);
   }
-  for (LeasedDuty* duty : m_duties) {
-    duty->Act(now);
+  for (LeasedTask* task : m_leasedTasks) {
+    task->DoWork(now);
   }
 }
 
@@ -98,28 +101,28 @@
   }
 }
 
-bool RolloutDriver::OthersOrder(base::TimePoint aNow) const
+bool RolloutDriver::IsOtherHostOrdering(base::TimePoint aNow) const
 {
-  if (m_wasHolder || !m_othersOrderedAt) {
+  if (m_wasHolder || !m_otherHostOrderedAt) {
     return false;
   }
   const base::Duration standby =
-    base::FromSeconds(m_options.m_standbyAfter * base::Seconds(m_options.m_due));
-  const base::Duration silence = m_standby ? standby : m_options.m_watchEvery;
-  return aNow < *m_othersOrderedAt + silence;
+    base::FromSeconds(m_options.m_standbyFraction * base::Seconds(m_options.m_rolloutTimeLimit));
+  const base::Duration holdOff = m_standby ? standby : m_options.m_leasePollInterval;
+  return aNow < *m_otherHostOrderedAt + holdOff;
 }
 
-bool RolloutDriver::DutiesPending(base::TimePoint aNow) const
+bool RolloutDriver::HasTaskWork(base::TimePoint aNow) const
 {
   // Each is asked: one that has nothing to do keeps itself up to date by it.
   bool pending = false;
-  for (LeasedDuty* duty : m_duties) {
-    pending = duty->Pending(aNow) || pending;
+  for (LeasedTask* task : m_leasedTasks) {
+    pending = task->HasWork(aNow) || pending;
   }
   return pending;
 }
 
-bool RolloutDriver::EnginesBehind() const
+bool RolloutDriver::HasOutdatedEngines() const
 {
   for (const fleet::Endpoint* endpoint : m_directory.All()) {
     for (const auto& [model, version] : endpoint->m_provenWeights) {
@@ -132,10 +135,11 @@
   return false;
 }
 
-void RolloutDriver::KeepLease(base::TimePoint aNow)
+void RolloutDriver::MaintainLease(base::TimePoint aNow)
 {
-  const bool watch = !m_lease.MayOrder(aNow) && aNow >= m_readAt + m_options.m_watchEvery;
-  if (m_lease.NeedsRead() || (watch && !m_lease.ShouldAppend(aNow))) {
+  const bool pollDue =
+    !m_lease.MayOrder(aNow) && aNow >= m_lastLeaseReadAt + m_options.m_leasePollInterval;
+  if (m_lease.NeedsRead() || (pollDue && !m_lease.ShouldAppend(aNow))) {
     ReadLease();
   } else if (m_lease.ShouldAppend(aNow)) {
     AppendLease(aNow);
@@ -146,24 +150,26 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   constexpr base::Duration kRetry = std::chrono::milliseconds(300);
-  if (m_reading || now < m_readAt + kRetry) {
+  if (m_leaseReadPending || now < m_lastLeaseReadAt + kRetry) {
     return;
   }
-  m_reading = true;
-  m_readAt = now;
+  m_leaseReadPending = true;
+  m_lastLeaseReadAt = now;
   m_log.Read(m_options.m_topic,
              m_lease.End(),
              {},
-             m_options.m_readPatience,
+             m_options.m_readTimeout,
              [this](base::Result<store::Batch> aBatch) {
-               m_reading = false;
+               m_leaseReadPending = false;
                if (!aBatch) {
                  return; // the follower of the same log has said so
                }
-               const bool any = !aBatch->m_records.empty();
+               const bool hasRecords = !aBatch->m_records.empty();
                // A record that is no longer kept may be anybody's.
-               const std::string lost = aBatch->m_historyGone ? "unknown" : m_lease.Holder();
-               const std::string holder = any ? aBatch->m_records.back().m_value : lost;
+               const std::string fallbackHolder =
+                 aBatch->m_historyGone ? "unknown" : m_lease.Holder();
+               const std::string holder =
+                 hasRecords ? aBatch->m_records.back().m_value : fallbackHolder;
                m_lease.OnRead(aBatch->m_end, holder, base::MonotonicNow());
              });
 }
@@ -194,8 +200,8 @@
                });
 }
 
-control::WorkerVersion RolloutDriver::ViewOf(const fleet::Endpoint& aEngine,
-                                             const std::string& aModel) const
+control::WorkerVersion RolloutDriver::WorkerVersionOf(const fleet::Endpoint& aEngine,
+                                                      const std::string& aModel) const
 {
   fleet::WeightVersion version = aEngine.m_provenWeights.at(aModel);
   bool busy = false;
@@ -215,14 +221,14 @@
   return view;
 }
 
-void RolloutDriver::Drive(const std::string& aModel,
-                          fleet::WeightVersion aVersion,
-                          base::TimePoint aNow)
+void RolloutDriver::PlanSwaps(const std::string& aModel,
+                              fleet::WeightVersion aVersion,
+                              base::TimePoint aNow)
 {
   std::vector<control::WorkerVersion> workers;
   for (const fleet::Endpoint* endpoint : m_directory.All()) {
     if (endpoint->m_provenWeights.contains(aModel)) {
-      workers.push_back(ViewOf(*endpoint, aModel));
+      workers.push_back(WorkerVersionOf(*endpoint, aModel));
     }
   }
   // Those on the oldest weights are the first that may begin nothing any more.
@@ -230,28 +236,28 @@
     return std::stoul(aLeft.m_version) < std::stoul(aRight.m_version);
   });
   auto [planner, isNew] = m_planners.try_emplace(
-    aModel, control::SwapOptions{ .m_maxConcurrent = 1, .m_confirmTimeout = kConfirmWithin });
-  planner->second.SetMaxConcurrent(WidthFor(aModel, workers.size(), aNow));
+    aModel, control::SwapOptions{ .m_maxConcurrent = 1, .m_confirmTimeout = kConfirmTimeout });
+  planner->second.SetMaxConcurrent(MaxConcurrentSwaps(aModel, workers.size(), aNow));
   const std::string wanted = std::to_string(aVersion);
   for (const control::SwapOrder& order : planner->second.Plan(wanted, workers, aNow)) {
     Announce(order, aModel, aNow);
   }
   for (const control::WorkerVersion& worker : workers) {
-    const bool underWay = worker.m_swapping || planner->second.IsOrdered(worker.m_worker);
-    if (worker.m_version != wanted && underWay) {
-      AskState(worker.m_worker, aModel, aNow);
+    const bool inProgress = worker.m_swapping || planner->second.IsOrdered(worker.m_worker);
+    if (worker.m_version != wanted && inProgress) {
+      QueryState(worker.m_worker, aModel, aNow);
     }
   }
 }
 
-std::uint32_t RolloutDriver::WidthFor(const std::string& aModel,
-                                      std::size_t aEngines,
-                                      base::TimePoint aNow)
+std::uint32_t RolloutDriver::MaxConcurrentSwaps(const std::string& aModel,
+                                                std::size_t aEngines,
+                                                base::TimePoint aNow)
 {
-  const base::TimePoint since = m_behindSince.try_emplace(aModel, aNow).first->second;
-  const bool late =
-    base::Seconds(aNow - since) > m_options.m_lateAfter * base::Seconds(m_options.m_due);
-  const double share = late ? m_options.m_lateWidthShare : m_options.m_widthShare;
+  const base::TimePoint since = m_outdatedSince.try_emplace(aModel, aNow).first->second;
+  const bool late = base::Seconds(aNow - since) >
+                    m_options.m_lateFraction * base::Seconds(m_options.m_rolloutTimeLimit);
+  const double share = late ? m_options.m_lateMaxSwapShare : m_options.m_maxSwapShare;
   return std::max(1U, static_cast<std::uint32_t>(share * static_cast<double>(aEngines)));
 }
 
--- a/src/ferrytray/rollout/rollout_driver_test.cpp
+++ b/src/ferrytray/rollout/rollout_driver_test.cpp
@@ -56,7 +56,7 @@
 };
 
 /// Engines that load at once, unless they are told to stay busy.
-class FakeEngines final : public rollout::OrderSink
+class FakeEngines final : public rollout::EngineClient
 {
 public:
   void ReadState(const fleet::Endpoint& aEngine,
@@ -96,10 +96,10 @@
   void setup() override
   {
     m_options.m_self = "a";
-    m_options.m_tick = 1ms;
-    m_options.m_spread = {};
-    m_options.m_stateEvery = 1ms;
-    m_options.m_usualLoad = 1ms; // the fake engines load at once
+    m_options.m_tickInterval = 1ms;
+    m_options.m_leaseJitter = {};
+    m_options.m_statePollInterval = 1ms;
+    m_options.m_expectedLoadTime = 1ms; // the fake engines load at once
   }
 
   void AddEngine(const std::string& aName, fleet::WeightVersion aVersion)
@@ -113,11 +113,11 @@
     m_engines.m_states[aName] = rollout::EngineState{ aVersion, false, 0 };
   }
 
-  void RunFor(base::Duration aSpan)
+  void RunFor(base::Duration aDuration)
   {
     rollout::RolloutDriver driver(m_loop, m_log, m_directory, m_engines, m_wanted, m_options);
     driver.Start();
-    m_loop.RunFor(aSpan);
+    m_loop.RunFor(aDuration);
     driver.Stop();
   }
 
@@ -130,11 +130,11 @@
     }
     driver.Stop();
   }
-  void RunUntilOrders(std::size_t aCount)
+  void RunUntilOrderCount(std::size_t aCount)
   {
     RunUntil([&] { return m_engines.m_orders.size() >= aCount; });
   }
-  bool AllRun(fleet::WeightVersion aVersion) const
+  bool AllEnginesRun(fleet::WeightVersion aVersion) const
   {
     const std::vector<const fleet::Endpoint*> all = m_directory.All();
     return std::all_of(all.begin(), all.end(), [&](const fleet::Endpoint* aEngine) {
@@ -143,7 +143,7 @@
   }
 };
 
-TEST(RolloutDriver, WithNothingToDoNoLeaseIsTaken)
+TEST(RolloutDriver, TakesNoLeaseWithoutWork)
 {
   AddEngine("e1", 2);
   m_wanted["m"] = 2;
@@ -152,13 +152,13 @@
   CHECK(m_engines.m_orders.empty());
 }
 
-TEST(RolloutDriver, BringsEveryEngineToTheWantedWeightsOnce)
+TEST(RolloutDriver, OrdersWantedWeightsOncePerEngine)
 {
   for (const char* name : { "e1", "e2", "e3", "e4", "e5", "e6", "e7" }) {
     AddEngine(name, 1);
   }
   m_wanted["m"] = 2;
-  RunUntil([&] { return AllRun(2); });
+  RunUntil([&] { return AllEnginesRun(2); });
   LONGS_EQUAL(7, m_engines.m_orders.size());
   for (const auto& [name, order] : m_engines.m_orders) {
     LONGS_EQUAL(2, order.m_version);
@@ -167,16 +167,16 @@
   }
 }
 
-TEST(RolloutDriver, TheOldestWeightsGoFirst)
+TEST(RolloutDriver, OrdersEngineWithOldestWeightsFirst)
 {
   AddEngine("e1", 2);
   AddEngine("e2", 1);
   m_wanted["m"] = 3;
-  RunUntilOrders(1);
+  RunUntilOrderCount(1);
   STRCMP_EQUAL("e2", m_engines.m_orders.front().first.c_str());
 }
 
-TEST(RolloutDriver, AReportOlderThanTheProofOfNewWeightsKeepsNobodyWaiting)
+TEST(RolloutDriver, BusyReportOlderThanProvenWeightsDoesNotBlockOtherEngines)
 {
   for (const char* name : { "e1", "e2" }) {
     AddEngine(name, 1);
@@ -198,7 +198,7 @@
   driver.Stop();
 }
 
-TEST(RolloutDriver, WhileAnotherHoldsTheLeaseNothingIsOrdered)
+TEST(RolloutDriver, SendsNoOrdersWhileAnotherHostHoldsTheLease)
 {
   AddEngine("e1", 1);
   m_wanted["m"] = 2;
@@ -208,7 +208,7 @@
   CHECK(m_engines.m_orders.empty());
 }
 
-TEST(RolloutDriver, ALeavingEngineIsLeftAlone)
+TEST(RolloutDriver, SendsNoOrderToLeavingEngine)
 {
   AddEngine("e1", 1);
   fleet::Endpoint leaving = *m_directory.Find("e1");
@@ -219,12 +219,12 @@
   CHECK(m_engines.m_orders.empty());
 }
 
-TEST(RolloutDriver, OnStandbyItBeginsOnlyWhenTheOrdersAreLate)
+TEST(RolloutDriver, StandbyHostOrdersOnlyAfterStandbyDelay)
 {
   AddEngine("e1", 1);
   m_wanted["m"] = 2;
-  m_options.m_due = 400ms;
-  m_options.m_standbyAfter = 0.5;
+  m_options.m_rolloutTimeLimit = 400ms;
+  m_options.m_standbyFraction = 0.5;
   rollout::RolloutDriver driver(m_loop, m_log, m_directory, m_engines, m_wanted, m_options);
   driver.SetStandby(true);
   const base::TimePoint start = base::MonotonicNow();
@@ -237,38 +237,38 @@
   CHECK(base::MonotonicNow() - start >= 200ms);
 }
 
-TEST(RolloutDriver, AnEngineIsAnnouncedBeforeItIsOrdered)
+TEST(RolloutDriver, AnnouncesReloadBeforeSendingOrder)
 {
   AddEngine("e1", 1);
   m_wanted["m"] = 2;
-  m_options.m_tick = 60ms;
-  m_options.m_usualLoad = 500ms;
-  std::vector<rollout::PlannedReload> told;
-  base::TimePoint toldAt{};
+  m_options.m_tickInterval = 60ms;
+  m_options.m_expectedLoadTime = 500ms;
+  std::vector<rollout::PlannedReload> reports;
+  base::TimePoint announcedAt{};
   rollout::RolloutDriver driver(m_loop, m_log, m_directory, m_engines, m_wanted, m_options);
   driver.OnReload([&](const rollout::PlannedReload& aReload) {
-    toldAt = told.empty() ? base::MonotonicNow() : toldAt;
-    told.push_back(aReload);
-    CHECK(told.size() > 1 || m_engines.m_orders.empty());
+    announcedAt = reports.empty() ? base::MonotonicNow() : announcedAt;
+    reports.push_back(aReload);
+    CHECK(reports.size() > 1 || m_engines.m_orders.empty());
   });
   driver.Start();
   for (int i = 0; i < 2000 && m_engines.m_orders.empty(); ++i) {
     m_loop.RunFor(1ms);
   }
   driver.Stop();
-  CHECK_FALSE(told.empty());
-  CHECK(base::MonotonicNow() - toldAt >= 50ms);
-  STRCMP_EQUAL("e1", told[0].m_incarnation.c_str());
-  LONGS_EQUAL(2, told[0].m_version);
-  CHECK(told[0].m_until - toldAt >= 400ms);
+  CHECK_FALSE(reports.empty());
+  CHECK(base::MonotonicNow() - announcedAt >= 50ms);
+  STRCMP_EQUAL("e1", reports[0].m_incarnation.c_str());
+  LONGS_EQUAL(2, reports[0].m_version);
+  CHECK(reports[0].m_expectedEnd - announcedAt >= 400ms);
 }
 
 // Load: a second version is named seconds after the first one.
-TEST(RolloutDriver, NewerWeightsNamedBeforeAnAnnouncedOrderAreLoadedInItsPlace)
+TEST(RolloutDriver, AnnouncedOrderIsRetargetedToNewerWeights)
 {
   AddEngine("e1", 1);
   m_wanted["m"] = 2;
-  m_options.m_tick = 50ms;
+  m_options.m_tickInterval = 50ms;
   rollout::RolloutDriver driver(m_loop, m_log, m_directory, m_engines, m_wanted, m_options);
   std::uint64_t revision = 0;
   driver.OnReload([&](const rollout::PlannedReload& aReload) {
@@ -285,46 +285,47 @@
   LONGS_EQUAL(3, m_engines.m_orders[0].second.m_version);
 }
 
-TEST(RolloutDriver, ALoadThatTakesLongerThanUsualIsToldOn)
+TEST(RolloutDriver, ReportsLaterEndForOverdueLoad)
 {
   AddEngine("e1", 1);
   m_wanted["m"] = 2;
   m_engines.m_staysBusy = true;
   rollout::RolloutDriver driver(m_loop, m_log, m_directory, m_engines, m_wanted, m_options);
-  std::vector<base::TimePoint> ends;
-  driver.OnReload([&](const rollout::PlannedReload& aReload) { ends.push_back(aReload.m_until); });
+  std::vector<base::TimePoint> expectedEnds;
+  driver.OnReload(
+    [&](const rollout::PlannedReload& aReload) { expectedEnds.push_back(aReload.m_expectedEnd); });
   driver.Start();
-  for (int i = 0; i < 2000 && ends.size() < 4; ++i) {
+  for (int i = 0; i < 2000 && expectedEnds.size() < 4; ++i) {
     m_loop.RunFor(1ms);
   }
   driver.Stop();
   LONGS_EQUAL(1, m_engines.m_orders.size());
-  CHECK(ends.at(3) > ends.at(1) + 250ms);
+  CHECK(expectedEnds.at(3) > expectedEnds.at(1) + 250ms);
 }
 
 // Fault: reports were asked for only from 0.8 of a usual load on, so where loads are short one
 // engine after the other waited, and a roll-out that changed hands was not over in its time (soak,
 // seed 6).
-TEST(RolloutDriver, ALoadThatIsShorterThanUsualMakesNobodyWait)
+TEST(RolloutDriver, ShortLoadDoesNotDelayNextEngine)
 {
   for (const char* name : { "e1", "e2", "e3" }) {
     AddEngine(name, 1);
   }
   m_wanted["m"] = 2;
-  m_options.m_usualLoad = 1h;
-  RunUntil([&] { return AllRun(2); });
+  m_options.m_expectedLoadTime = 1h;
+  RunUntil([&] { return AllEnginesRun(2); });
   LONGS_EQUAL(3, m_engines.m_orders.size());
 }
 
 // Load: hundreds of hosts see engines behind while one of them gives orders for many seconds.
-TEST(RolloutDriver, WhileOthersAreHeardToOrderTheLeaseIsNotLookedAt)
+TEST(RolloutDriver, DoesNotReadLeaseWhileAnotherHostOrders)
 {
   AddEngine("e1", 1);
   m_wanted["m"] = 2;
-  m_options.m_watchEvery = 10s;
+  m_options.m_leasePollInterval = 10s;
   rollout::RolloutDriver driver(m_loop, m_log, m_directory, m_engines, m_wanted, m_options);
   driver.SetStandby(true);
-  driver.NoteOthersOrder(base::MonotonicNow());
+  driver.NoteOrderByOtherHost(base::MonotonicNow());
   driver.Start();
   driver.SetStandby(false);
   const std::size_t reads = m_log.m_reads;
@@ -335,7 +336,7 @@
   CHECK(m_engines.m_orders.empty());
 }
 
-TEST(RolloutDriver, AHostOnStandbyReadsNoLeaseAtItsStart)
+TEST(RolloutDriver, StandbyHostDoesNotReadLeaseAtStart)
 {
   AddEngine("e1", 2);
   m_wanted["m"] = 2;
@@ -348,14 +349,14 @@
   driver.Stop();
 }
 
-TEST(RolloutDriver, WhenTheOthersFallSilentThisHostOrders)
+TEST(RolloutDriver, OrdersAfterOtherHostStopsOrdering)
 {
   AddEngine("e1", 1);
   m_wanted["m"] = 2;
-  m_options.m_watchEvery = 20ms;
+  m_options.m_leasePollInterval = 20ms;
   rollout::RolloutDriver driver(m_loop, m_log, m_directory, m_engines, m_wanted, m_options);
   const base::TimePoint heard = base::MonotonicNow();
-  driver.NoteOthersOrder(heard);
+  driver.NoteOrderByOtherHost(heard);
   driver.Start();
   for (int i = 0; i < 2000 && m_engines.m_orders.empty(); ++i) {
     m_loop.RunFor(1ms);
--- a/src/ferrytray/rollout/rollout_orders.cpp
+++ b/src/ferrytray/rollout/rollout_orders.cpp
@@ -14,7 +14,7 @@
   switch (aReply) {
     case OrderReply::Accepted:
       return "accepted";
-    case OrderReply::Holds:
+    case OrderReply::AlreadyLoaded:
       return "holds";
     case OrderReply::Refused:
       return "refused";
@@ -25,16 +25,16 @@
 }
 
 /// An engine that loads for longer than usual is taken to need so much more.
-constexpr base::Duration kStillLoads = std::chrono::milliseconds(300);
+constexpr base::Duration kOverdueExtension = std::chrono::milliseconds(300);
 
 /// Requests are sent again from this part of a usual load on: a rejection costs milliseconds, an
 /// idle engine its whole work, and reports tell a load's end some hundred milliseconds late.
-constexpr double kOpenFrom = 0.8;
+constexpr double kRoutingResumeFraction = 0.8;
 
 /// Reports come late, never early: the usual time follows shorter loads at once and longer ones
 /// slowly.
-constexpr double kFollowShorter = 0.5;
-constexpr double kFollowLonger = 0.1;
+constexpr double kShorterLoadGain = 0.5;
+constexpr double kLongerLoadGain = 0.1;
 
 /// Changes of one lease's reloads, far more than there are in its time.
 constexpr unsigned kRevisionBits = 24;
@@ -47,34 +47,34 @@
 {
   Engine& engine = m_engines[aOrder.m_worker];
   engine.m_announced = true;
-  engine.m_loadsSince.reset();
-  engine.m_loadsUntil.reset();
-  Tell(aOrder.m_worker, aModel, aNow + m_options.m_tick + OpenAfter());
+  engine.m_loadStart.reset();
+  engine.m_expectedLoadEnd.reset();
+  ReportReload(aOrder.m_worker, aModel, aNow + m_options.m_tickInterval + RoutingResumeDelay());
 }
 
-void RolloutDriver::OnOrdered(const std::string& aIncarnation,
-                              const WeightOrder& aOrder,
-                              OrderReply aReply)
+void RolloutDriver::OnOrderReply(const std::string& aIncarnation,
+                                 const WeightOrder& aOrder,
+                                 OrderReply aReply)
 {
   const base::TimePoint now = base::MonotonicNow();
   if (aReply == OrderReply::Refused) {
-    Tell(aIncarnation, aOrder.m_model, now);
+    ReportReload(aIncarnation, aOrder.m_model, now);
     return;
   }
   Engine& engine = m_engines[aIncarnation];
-  engine.m_loads = aOrder.m_version;
-  engine.m_loadsSince = now;
-  engine.m_loadsUntil = aReply == OrderReply::Holds ? now : now + OpenAfter();
-  Tell(aIncarnation, aOrder.m_model, *engine.m_loadsUntil);
+  engine.m_loadingVersion = aOrder.m_version;
+  engine.m_loadStart = now;
+  engine.m_expectedLoadEnd = aReply == OrderReply::AlreadyLoaded ? now : now + RoutingResumeDelay();
+  ReportReload(aIncarnation, aOrder.m_model, *engine.m_expectedLoadEnd);
 }
 
-void RolloutDriver::SendAnnounced(const std::string& aModel, fleet::WeightVersion aVersion)
+void RolloutDriver::SendAnnouncedOrders(const std::string& aModel, fleet::WeightVersion aVersion)
 {
   std::vector<std::string> due;
   for (const auto& [incarnation, engine] : m_engines) {
     const fleet::Endpoint* endpoint = m_directory.Find(incarnation);
-    const bool runsIt = endpoint != nullptr && endpoint->m_provenWeights.contains(aModel);
-    if (runsIt && engine.m_announced) {
+    const bool servesModel = endpoint != nullptr && endpoint->m_provenWeights.contains(aModel);
+    if (servesModel && engine.m_announced) {
       due.push_back(incarnation);
     }
   }
@@ -89,71 +89,72 @@
       // Newer weights may have been named since it was announced.
       planner->second.Retarget(incarnation, std::to_string(aVersion));
     }
-    Order(incarnation, aModel, aVersion);
+    SendOrder(incarnation, aModel, aVersion);
   }
 }
 
-base::Duration RolloutDriver::OpenAfter() const
+base::Duration RolloutDriver::RoutingResumeDelay() const
 {
-  return base::FromSeconds(kOpenFrom * base::Seconds(m_usualLoad));
+  return base::FromSeconds(kRoutingResumeFraction * base::Seconds(m_expectedLoadTime));
 }
 
-void RolloutDriver::Tell(const std::string& aIncarnation,
-                         const std::string& aModel,
-                         base::TimePoint aUntil)
+void RolloutDriver::ReportReload(const std::string& aIncarnation,
+                                 const std::string& aModel,
+                                 base::TimePoint aExpectedEnd)
 {
   if (m_onReload) {
     const std::uint64_t revision = (m_lease.Fence() << kRevisionBits) + ++m_revision;
-    m_onReload({ aIncarnation, aModel, m_wanted.at(aModel), aUntil, revision });
+    m_onReload({ aIncarnation, aModel, m_wanted.at(aModel), aExpectedEnd, revision });
   }
 }
 
-void RolloutDriver::NoteLoad(const std::string& aIncarnation,
-                             const std::string& aModel,
-                             base::TimePoint aNow)
+void RolloutDriver::TrackLoad(const std::string& aIncarnation,
+                              const std::string& aModel,
+                              base::TimePoint aNow)
 {
   Engine& engine = m_engines[aIncarnation];
-  if (!engine.m_loadsSince || !engine.m_state) {
+  if (!engine.m_loadStart || !engine.m_state) {
     return;
   }
-  const bool over = !engine.m_state->m_busy && engine.m_state->m_weights >= engine.m_loads;
-  if (over) {
-    const base::Duration took = aNow - *engine.m_loadsSince;
-    const double follow = took < m_usualLoad ? kFollowShorter : kFollowLonger;
-    m_usualLoad += base::FromSeconds(follow * base::Seconds(took - m_usualLoad));
-    engine.m_loadsSince.reset();
-    if (aNow < *engine.m_loadsUntil) {
-      Tell(aIncarnation, aModel, aNow);
+  const bool finished =
+    !engine.m_state->m_busy && engine.m_state->m_weights >= engine.m_loadingVersion;
+  if (finished) {
+    const base::Duration duration = aNow - *engine.m_loadStart;
+    const double gain = duration < m_expectedLoadTime ? kShorterLoadGain : kLongerLoadGain;
+    m_expectedLoadTime += base::FromSeconds(gain * base::Seconds(duration - m_expectedLoadTime));
+    engine.m_loadStart.reset();
+    if (aNow < *engine.m_expectedLoadEnd) {
+      ReportReload(aIncarnation, aModel, aNow);
     }
-    engine.m_loadsUntil.reset();
-  } else if (engine.m_state->m_busy && *engine.m_loadsUntil <= aNow) {
-    engine.m_loadsUntil = aNow + kStillLoads;
-    Tell(aIncarnation, aModel, *engine.m_loadsUntil);
+    engine.m_expectedLoadEnd.reset();
+  } else if (engine.m_state->m_busy && *engine.m_expectedLoadEnd <= aNow) {
+    engine.m_expectedLoadEnd = aNow + kOverdueExtension;
+    ReportReload(aIncarnation, aModel, *engine.m_expectedLoadEnd);
   }
 }
 
-void RolloutDriver::AskState(const std::string& aIncarnation,
-                             const std::string& aModel,
-                             base::TimePoint aNow)
+void RolloutDriver::QueryState(const std::string& aIncarnation,
+                               const std::string& aModel,
+                               base::TimePoint aNow)
 {
   Engine& engine = m_engines[aIncarnation];
   const fleet::Endpoint* endpoint = m_directory.Find(aIncarnation);
-  const bool soon = aNow < engine.m_askedAt + m_options.m_stateEvery;
-  if (engine.m_asking || soon || endpoint == nullptr) {
+  const bool tooSoon = aNow < engine.m_lastQueryAt + m_options.m_statePollInterval;
+  if (engine.m_queryPending || tooSoon || endpoint == nullptr) {
     return;
   }
-  engine.m_asking = true;
-  engine.m_askedAt = aNow;
-  m_sink.ReadState(
+  engine.m_queryPending = true;
+  engine.m_lastQueryAt = aNow;
+  m_engineClient.ReadState(
     *endpoint, aModel, [this, aIncarnation, aModel](std::optional<EngineState> aState) {
-      Engine& asked = m_engines[aIncarnation];
-      asked.m_asking = false;
+      Engine& queried = m_engines[aIncarnation];
+      queried.m_queryPending = false;
       if (!aState) {
         return;
       }
-      const bool changed = !asked.m_state || asked.m_state->m_busy != aState->m_busy ||
-                           asked.m_state->m_weights != aState->m_weights;
-      asked.m_state = aState;
+      const bool changed = !queried.m_state || queried.m_state->m_busy != aState->m_busy ||
+                           queried.m_state->m_weights != aState->m_weights;
+      queried.m_state = aState;
       if (changed) {
         telemetry::LogLine("engine_state")
           .Add("endpoint", aIncarnation)
@@ -164,27 +165,27 @@
       if (aState->m_weights) {
         m_directory.NoteWeights(aIncarnation, aModel, *aState->m_weights);
       }
-      NoteLoad(aIncarnation, aModel, base::MonotonicNow());
+      TrackLoad(aIncarnation, aModel, base::MonotonicNow());
     });
 }
 
-void RolloutDriver::Order(const std::string& aIncarnation,
-                          const std::string& aModel,
-                          fleet::WeightVersion aVersion)
+void RolloutDriver::SendOrder(const std::string& aIncarnation,
+                              const std::string& aModel,
+                              fleet::WeightVersion aVersion)
 {
   const fleet::Endpoint* endpoint = m_directory.Find(aIncarnation);
   if (endpoint == nullptr) {
     return;
   }
   // The engine's own count of orders makes one that arrives late do nothing.
-  m_engines[aIncarnation].m_askedAt = base::MonotonicNow();
-  m_sink.ReadState(
+  m_engines[aIncarnation].m_lastQueryAt = base::MonotonicNow();
+  m_engineClient.ReadState(
     *endpoint, aModel, [this, aIncarnation, aModel, aVersion](std::optional<EngineState> aState) {
       const fleet::Endpoint* engine = m_directory.Find(aIncarnation);
       const bool stillWanted = m_wanted.at(aModel) == aVersion;
       if (!aState || engine == nullptr || !stillWanted || !m_lease.MayOrder(base::MonotonicNow())) {
-        Tell(aIncarnation, aModel, base::MonotonicNow());
-        return; // the planner orders again after kConfirmWithin
+        ReportReload(aIncarnation, aModel, base::MonotonicNow());
+        return; // the planner orders again after kConfirmTimeout
       }
       m_engines[aIncarnation].m_state = aState;
       WeightOrder order;
@@ -193,8 +194,8 @@
       order.m_holder = m_options.m_self;
       order.m_fence = m_lease.Fence();
       order.m_expectedOrders = aState->m_ordersTaken;
-      m_sink.Send(*engine, order, [this, aIncarnation, order](OrderReply aReply) {
-        OnOrdered(aIncarnation, order, aReply);
+      m_engineClient.Send(*engine, order, [this, aIncarnation, order](OrderReply aReply) {
+        OnOrderReply(aIncarnation, order, aReply);
         telemetry::LogLine("weight_order")
           .Add("endpoint", aIncarnation)
           .Add("version", order.m_version)
