--- a/include/ferrytray/rollout/engine_client.hpp
+++ b/include/ferrytray/rollout/engine_client.hpp
@@ -9,34 +9,34 @@
 
 namespace ferrytray::rollout {
 
-/// @brief What an engine says of itself; some hundred milliseconds old.
+/// @brief State reported by an engine; some hundred milliseconds old.
 struct EngineState
 {
-  std::optional<fleet::WeightVersion> m_weights; ///< of the model that was asked about
+  std::optional<fleet::WeightVersion> m_weights; ///< of the queried model
   bool m_busy = false;                           ///< an order is in progress
   std::uint64_t m_ordersTaken = 0;               ///< since the engine started
 };
 
-/// @brief How an engine answered an order.
+/// @brief Reply of an engine to an order.
 enum class OrderReply : std::uint8_t
 {
-  Accepted,      ///< it is being carried out
-  AlreadyLoaded, ///< nothing had to be done
+  Accepted,      ///< the engine is executing it
+  AlreadyLoaded, ///< the engine already has the ordered version
   Refused,       ///< another order is in progress, or the engine's state is not the expected one
-  Unknown,       ///< no answer: it may be carried out, perhaps seconds later
+  Unknown,       ///< no reply: the order may still be executed, possibly seconds later
 };
 
-/// @brief "Run this version", for one incarnation of an engine.
+/// @brief Orders one incarnation of an engine to load a weight version.
 struct WeightOrder
 {
   std::string m_model;
   fleet::WeightVersion m_version = 0;
   std::string m_holder;
   std::uint64_t m_fence = 0;
-  std::uint64_t m_expectedOrders = 0; ///< refused if the engine has taken another number
+  std::uint64_t m_expectedOrders = 0; ///< the engine refuses the order if its own count differs
 };
 
-/// @brief How orders reach engines.
+/// @brief Queries the state of engines and sends them orders.
 class EngineClient
 {
 public:
--- a/include/ferrytray/rollout/leased_task.hpp
+++ b/include/ferrytray/rollout/leased_task.hpp
@@ -4,14 +4,14 @@
 
 namespace ferrytray::rollout {
 
-/// @brief Work that only the host with the order lease may do.
+/// @brief A task that only the holder of the order lease may run.
 class LeasedTask
 {
 public:
   virtual ~LeasedTask() = default;
-  /// @brief Whether there is something to do, so that the lease is worth taking.
+  /// @brief Returns whether there is work that justifies taking the lease.
   [[nodiscard]] virtual bool HasWork(base::TimePoint aNow) = 0;
-  /// @brief Does what is due. Called only while the lease holds.
+  /// @brief Does the work that is due. Called only while the lease is held.
   virtual void DoWork(base::TimePoint aNow) = 0;
 };
 
--- a/include/ferrytray/rollout/rollout_driver.hpp
+++ b/include/ferrytray/rollout/rollout_driver.hpp
@@ -18,53 +18,56 @@
 
 struct RolloutOptions
 {
-  std::string m_self; ///< this incarnation of the host; the lease's holder
+  std::string m_self; ///< this incarnation of the host; its name as lease holder
   std::string m_topic = "ferrytray.orders";
   control::OrderLeaseOptions m_lease;
-  /// Also the time from an announcement to its order. Hosts hear of it within three of these.
-  /// Waiting for the last of them would idle the engine, which costs more than a few rejections,
-  /// each told within milliseconds: with 350 ms instead, mean worth of days with a roll-out was
-  /// 0.013 lower.
+  /// Also the delay between announcing a reload and sending its order. All hosts receive the
+  /// announcement within three ticks. Waiting for the last of them would idle the engine, which
+  /// costs more than a few rejections that are reported within milliseconds: a delay of 350 ms
+  /// lowered the mean worth of days with a roll-out by 0.013.
   base::Duration m_tickInterval = std::chrono::milliseconds(100);
-  /// A longer gap between ticks means that the process stood still: the lease is given up.
+  /// A longer gap between ticks means that the process was suspended; the lease is then dropped.
   base::Duration m_maxTickGap = std::chrono::milliseconds(700);
-  /// Hosts wait a random part of this before they try for the lease, so that one of them is first.
+  /// Upper limit of the random delay before a host tries to take the lease, so that hosts do not
+  /// compete for it.
   base::Duration m_leaseJitter = std::chrono::milliseconds(300);
-  /// The same for duties, which are in no hurry: most hosts see them done before they try.
+  /// The same for leased tasks. They are not urgent, and with a longer delay most hosts find them
+  /// done before they try.
   base::Duration m_taskLeaseJitter = std::chrono::milliseconds(3000);
-  /// While another host holds the lease, the topic is read again after this.
+  /// Interval at which the lease topic is read while another host holds the lease.
   base::Duration m_leasePollInterval = std::chrono::milliseconds(1500);
   base::Duration m_readTimeout = std::chrono::milliseconds(1000);
-  base::Duration m_statePollInterval = std::chrono::milliseconds(150); ///< while an engine loads
-  /// How long a load takes before one was seen here.
+  /// Interval at which the state of an engine is queried while it loads weights.
+  base::Duration m_statePollInterval = std::chrono::milliseconds(150);
+  /// Initial estimate of the time that loading weights takes.
   base::Duration m_expectedLoadTime = std::chrono::milliseconds(1200);
-  /// Part of a model's engines that may swap at once. Both sites slow loads down past a sixth or so
-  /// (3 of 18, 2 of 14); in trials 0.34 cost a quarter of quiet-1's worth through lost capacity.
+  /// Share of a model's engines that may load weights at the same time. At both sites loads become
+  /// slower beyond about a sixth of the engines (3 of 18, 2 of 14). In trials 0.34 cost a quarter
+  /// of the worth of scenario quiet-1 through lost capacity.
   double m_maxSwapShare = 0.17;
-  /// The same when a roll-out is late, such as after its first holder died: capacity counts less
-  /// then than the time in which no request may begin on older weights any more.
+  /// The same for a late roll-out, for example after the first lease holder died. Capacity then
+  /// matters less than finishing before requests may no longer start on older weights.
   double m_lateMaxSwapShare = 0.23;
-  /// Requests may begin on older weights for so long (settings); late is after m_lateFraction of
-  /// it.
+  /// How long requests may start on older weights (from the settings).
   base::Duration m_rolloutTimeLimit = std::chrono::seconds(12);
-  double m_lateFraction = 0.4;
-  double m_standbyFraction = 0.5; ///< of m_rolloutTimeLimit; then hosts on standby try, too
+  double m_lateFraction = 0.4;    ///< of m_rolloutTimeLimit; a roll-out that takes longer is late
+  double m_standbyFraction = 0.5; ///< of m_rolloutTimeLimit; then standby hosts try, too
 };
 
-/// @brief An engine that begins nothing until its load is over.
+/// @brief A planned load of weights, during which an engine starts no requests.
 struct PlannedReload
 {
   std::string m_incarnation;
   std::string m_model;
   fleet::WeightVersion m_version = 0;
-  base::TimePoint m_expectedEnd; ///< when the load should be over, or was
-  std::uint64_t m_revision = 0;  ///< the higher one counts, also among hosts that order in turn
+  base::TimePoint m_expectedEnd; ///< expected or actual end of the load
+  std::uint64_t m_revision = 0;  ///< the highest one is valid, also across successive lease holders
 };
 
-/// @brief Brings engines to the weights that the operators named. One host at a time gives orders.
+/// @brief Rolls out the weight versions wanted by the operators. One host at a time sends orders.
 ///
-/// Level-triggered: it compares what the directory and the engines themselves say with what is
-/// wanted, so a new holder needs nothing from the one before.
+/// Level-triggered: it compares the state in the directory and the engines' reports with the wanted
+/// versions, so a new lease holder needs no state from the previous one.
 class RolloutDriver
 {
 public:
@@ -74,18 +77,18 @@
                 EngineClient& aEngineClient,
                 const std::map<std::string, fleet::WeightVersion>& aWanted,
                 RolloutOptions aOptions);
-  /// @brief Does this, too, while the lease is held. It must outlive the driver.
+  /// @brief Adds a task to run while the lease is held. It must outlive the driver.
   void AddLeasedTask(LeasedTask& aTask) { m_leasedTasks.push_back(&aTask); }
-  /// @brief Calls with each reload when it is planned, and again when its end is known better.
+  /// @brief Sets the callback for each planned reload; called again when its expected end changes.
   void OnReload(std::function<void(const PlannedReload&)> aCall) { m_onReload = std::move(aCall); }
   void Start();
-  /// @brief Whether this host leaves the orders to others unless they take very long. With many
-  /// hosts, each one's looking at the lease is charged.
+  /// @brief Sets whether this host sends orders only if the other hosts are late. Every read of the
+  /// lease is charged, which adds up with many hosts.
   void SetStandby(bool aStandby);
-  /// @brief Another host was heard to announce a reload: somebody gives orders. While that goes on
-  /// this host does not look at the lease, which would be charged.
+  /// @brief Records that another host announced a reload and therefore holds the lease. While such
+  /// announcements continue, this host does not read the lease, as every read is charged.
   void NoteOrderByOtherHost(base::TimePoint aNow) { m_otherHostOrderedAt = aNow; }
-  /// @brief Gives no orders any more.
+  /// @brief Stops sending orders and drops the lease.
   void Stop();
 
 private:
@@ -94,10 +97,10 @@
     bool m_queryPending = false;
     base::TimePoint m_lastQueryAt{};
     std::optional<EngineState> m_state;
-    bool m_announced = false; ///< its order is sent at the next tick
+    bool m_announced = false; ///< its order is due at the next tick
     std::optional<base::TimePoint> m_loadStart;
-    std::optional<base::TimePoint> m_expectedLoadEnd; ///< as expected
-    fleet::WeightVersion m_loadingVersion = 0;        ///< what it loads since then
+    std::optional<base::TimePoint> m_expectedLoadEnd;
+    fleet::WeightVersion m_loadingVersion = 0; ///< the version being loaded
   };
   struct Behind
   {
@@ -116,7 +119,7 @@
   [[nodiscard]] std::uint32_t MaxConcurrentSwaps(const std::string& aModel,
                                                  std::size_t aEngines,
                                                  base::TimePoint aNow);
-  /// Announces an order, which is sent at the next tick.
+  /// Announces a reload; its order is sent at the next tick.
   void Announce(const control::SwapOrder& aOrder, const std::string& aModel, base::TimePoint aNow);
   void OnOrderReply(const std::string& aIncarnation, const WeightOrder& aOrder, OrderReply aReply);
   void SendAnnouncedOrders(const std::string& aModel, fleet::WeightVersion aVersion);
@@ -140,11 +143,12 @@
   RolloutOptions m_options;
   control::OrderLease m_lease;
   std::map<std::string, control::SwapPlanner> m_planners; ///< by model
-  std::map<std::string, base::TimePoint> m_outdatedSince; ///< by model; until all engines follow
-  std::map<std::string, Engine> m_engines;                ///< by incarnation
+  /// By model; cleared when no engine is outdated.
+  std::map<std::string, base::TimePoint> m_outdatedSince;
+  std::map<std::string, Engine> m_engines; ///< by incarnation
   std::vector<LeasedTask*> m_leasedTasks;
   std::function<void(const PlannedReload&)> m_onReload;
-  base::Duration m_expectedLoadTime; ///< learnt
+  base::Duration m_expectedLoadTime; ///< moving estimate
   std::uint64_t m_revision = 0;
   net::TimerHandle m_timer;
   base::TimePoint m_lastTick{};
--- a/src/ferrytray/rollout/rollout_driver.cpp
+++ b/src/ferrytray/rollout/rollout_driver.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// After this an order without visible effect is given again (an answer may be lost, and a late
-/// execution takes up to 12 s, but then the engine's order count has moved on).
+/// An order without visible effect is sent again after this time, as its reply may be lost. A late
+/// execution takes up to 12 s; repeating the order is safe because the engine's order count has
+/// then changed.
 constexpr base::Duration kConfirmTimeout = std::chrono::milliseconds(3000);
 
 } // namespace
@@ -52,7 +53,7 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   if (now - m_lastTick > m_options.m_maxTickGap) {
-    telemetry::LogLine("order_lease").Add("outcome", "dropped").Add("why", "process stood still");
+    telemetry::LogLine("order_lease").Add("outcome", "dropped").Add("why", "process was suspended");
     m_lease.Drop();
   }
   m_lastTick = now;
@@ -97,7 +98,7 @@
 void RolloutDriver::SetStandby(bool aStandby)
 {
   if (std::exchange(m_standby, aStandby) && !aStandby && m_timer && m_lease.NeedsRead()) {
-    ReadLease(); // a holder's time is counted from when it was first read
+    ReadLease(); // the holder's lease time is counted from the first read
   }
 }
 
@@ -114,7 +115,7 @@
 
 bool RolloutDriver::HasTaskWork(base::TimePoint aNow) const
 {
-  // Each is asked: one that has nothing to do keeps itself up to date by it.
+  // Every task is queried, as an idle task updates its state in HasWork().
   bool pending = false;
   for (LeasedTask* task : m_leasedTasks) {
     pending = task->HasWork(aNow) || pending;
@@ -162,10 +163,10 @@
              [this](base::Result<store::Batch> aBatch) {
                m_leaseReadPending = false;
                if (!aBatch) {
-                 return; // the follower of the same log has said so
+                 return; // already logged by the follower of this log
                }
                const bool hasRecords = !aBatch->m_records.empty();
-               // A record that is no longer kept may be anybody's.
+               // A record that is no longer retained may be from any host.
                const std::string fallbackHolder =
                  aBatch->m_historyGone ? "unknown" : m_lease.Holder();
                const std::string holder =
@@ -208,7 +209,7 @@
   const auto known = m_engines.find(aEngine.m_incarnation);
   if (known != m_engines.end() && known->second.m_state) {
     const fleet::WeightVersion reported = known->second.m_state->m_weights.value_or(0);
-    // A reply or an entry has told newer weights since that report: the swap is over.
+    // If newer weights are proven by a reply or an entry since that report, the swap is finished.
     busy = known->second.m_state->m_busy && reported >= version;
     version = std::max(version, reported);
   }
@@ -231,7 +232,7 @@
       workers.push_back(WorkerVersionOf(*endpoint, aModel));
     }
   }
-  // Those on the oldest weights are the first that may begin nothing any more.
+  // Engines with the oldest weights are the first that may no longer start requests.
   std::stable_sort(workers.begin(), workers.end(), [](const auto& aLeft, const auto& aRight) {
     return std::stoul(aLeft.m_version) < std::stoul(aRight.m_version);
   });
--- a/src/ferrytray/rollout/rollout_driver_test.cpp
+++ b/src/ferrytray/rollout/rollout_driver_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// One topic whose conditional appends always answer at once.
+/// A log with one topic whose calls complete immediately.
 class FakeLog final : public store::RecordLog
 {
 public:
@@ -55,7 +55,7 @@
   std::vector<std::string> m_records;
 };
 
-/// Engines that load at once, unless they are told to stay busy.
+/// Engines that load immediately unless m_staysBusy is set.
 class FakeEngines final : public rollout::EngineClient
 {
 public:
@@ -99,7 +99,7 @@
     m_options.m_tickInterval = 1ms;
     m_options.m_leaseJitter = {};
     m_options.m_statePollInterval = 1ms;
-    m_options.m_expectedLoadTime = 1ms; // the fake engines load at once
+    m_options.m_expectedLoadTime = 1ms; // the fake engines load immediately
   }
 
   void AddEngine(const std::string& aName, fleet::WeightVersion aVersion)
@@ -188,9 +188,9 @@
   for (int i = 0; i < 2000 && m_engines.m_orders.empty(); ++i) {
     m_loop.RunFor(5ms);
   }
-  m_loop.RunFor(50ms); // it is seen to be busy
+  m_loop.RunFor(50ms); // the driver sees that the engine is busy
   LONGS_EQUAL(1, m_engines.m_orders.size());
-  m_directory.NoteWeights(m_engines.m_orders[0].first, "m", 2); // a reply proves it
+  m_directory.NoteWeights(m_engines.m_orders[0].first, "m", 2); // as proven by a reply
   for (int i = 0; i < 400 && m_engines.m_orders.size() < 2; ++i) {
     m_loop.RunFor(5ms);
   }
@@ -263,7 +263,7 @@
   CHECK(reports[0].m_expectedEnd - announcedAt >= 400ms);
 }
 
-// Load: a second version is named seconds after the first one.
+// The workload requests a second version seconds after the first one.
 TEST(RolloutDriver, AnnouncedOrderIsRetargetedToNewerWeights)
 {
   AddEngine("e1", 1);
@@ -303,9 +303,8 @@
   CHECK(expectedEnds.at(3) > expectedEnds.at(1) + 250ms);
 }
 
-// Fault: reports were asked for only from 0.8 of a usual load on, so where loads are short one
-// engine after the other waited, and a roll-out that changed hands was not over in its time (soak,
-// seed 6).
+// Engine states were queried only after 0.8 of the expected load time, so short loads delayed every
+// following engine, and a roll-out whose lease holder changed missed its time limit (soak, seed 6).
 TEST(RolloutDriver, ShortLoadDoesNotDelayNextEngine)
 {
   for (const char* name : { "e1", "e2", "e3" }) {
@@ -317,7 +316,7 @@
   LONGS_EQUAL(3, m_engines.m_orders.size());
 }
 
-// Load: hundreds of hosts see engines behind while one of them gives orders for many seconds.
+// Hundreds of hosts see outdated engines while one of them sends orders for many seconds.
 TEST(RolloutDriver, DoesNotReadLeaseWhileAnotherHostOrders)
 {
   AddEngine("e1", 1);
--- a/src/ferrytray/rollout/rollout_orders.cpp
+++ b/src/ferrytray/rollout/rollout_orders.cpp
@@ -1,4 +1,4 @@
-// Orders to engines: announced, sent, and what engines and the ends of their loads tell.
+// Order handling of RolloutDriver: announcing and sending orders, querying engines, tracking loads.
 #include "ferrytray/rollout/rollout_driver.hpp"
 
 #include <algorithm> // for stable_sort
@@ -24,19 +24,20 @@
   return "unknown";
 }
 
-/// An engine that loads for longer than usual is taken to need so much more.
+/// Extension of the expected end of a load that takes longer than expected.
 constexpr base::Duration kOverdueExtension = std::chrono::milliseconds(300);
 
-/// Requests are sent again from this part of a usual load on: a rejection costs milliseconds, an
-/// idle engine its whole work, and reports tell a load's end some hundred milliseconds late.
+/// Fraction of the expected load time after which requests are routed to the engine again. A
+/// rejection costs milliseconds, an idle engine all of its capacity, and reports show the end of a
+/// load some hundred milliseconds late.
 constexpr double kRoutingResumeFraction = 0.8;
 
-/// Reports come late, never early: the usual time follows shorter loads at once and longer ones
-/// slowly.
+/// Reports are late, never early, so the expected load time adapts quickly to shorter loads and
+/// slowly to longer ones.
 constexpr double kShorterLoadGain = 0.5;
 constexpr double kLongerLoadGain = 0.1;
 
-/// Changes of one lease's reloads, far more than there are in its time.
+/// Bits of the reload revision counter below the fencing token; more than one lease term needs.
 constexpr unsigned kRevisionBits = 24;
 
 } // namespace
@@ -86,7 +87,7 @@
     m_engines[incarnation].m_announced = false;
     const auto planner = m_planners.find(aModel);
     if (planner != m_planners.end()) {
-      // Newer weights may have been named since it was announced.
+      // Newer weights may be wanted since the reload was announced.
       planner->second.Retarget(incarnation, std::to_string(aVersion));
     }
     SendOrder(incarnation, aModel, aVersion);
@@ -177,7 +178,7 @@
   if (endpoint == nullptr) {
     return;
   }
-  // The engine's own count of orders makes one that arrives late do nothing.
+  // The expected order count makes the engine refuse an order that arrives late.
   m_engines[aIncarnation].m_lastQueryAt = base::MonotonicNow();
   m_engineClient.ReadState(
     *endpoint, aModel, [this, aIncarnation, aModel, aVersion](std::optional<EngineState> aState) {
@@ -185,7 +186,7 @@
       const bool stillWanted = m_wanted.at(aModel) == aVersion;
       if (!aState || engine == nullptr || !stillWanted || !m_lease.MayOrder(base::MonotonicNow())) {
         ReportReload(aIncarnation, aModel, base::MonotonicNow());
-        return; // the planner orders again after kConfirmTimeout
+        return; // the planner repeats the order after kConfirmTimeout
       }
       m_engines[aIncarnation].m_state = aState;
       WeightOrder order;
