--- a/include/ferrytray/config/document.hpp
+++ b/include/ferrytray/config/document.hpp
@@ -10,10 +10,10 @@
 /// @brief How much each cost counts when a worker and a plan are chosen.
 struct PolicyWeights
 {
-  double m_firstToken = 1; ///< for a second until the first token
-  double m_recompute = 0;  ///< for a second of engine time spent on context that was kept
-  double m_link = 0;       ///< for a second of a store's link
-  double m_target = 0;     ///< first token wanted within so many seconds; 0: no target
+  double m_firstToken = 1;       ///< for a second until the first token
+  double m_recompute = 0;        ///< for a second of engine time spent on context that was kept
+  double m_link = 0;             ///< for a second of a store's link
+  double m_firstTokenTarget = 0; ///< first token wanted within so many seconds; 0: no target
   auto operator<=>(const PolicyWeights&) const = default;
 };
 
--- a/include/ferrytray/config/parse.hpp
+++ b/include/ferrytray/config/parse.hpp
@@ -47,8 +47,8 @@
 /// @param aDocument the new content of its scope
 /// @param aOthers every other scope in force
 /// @param aFile its name, for messages
-Problems CheckAgainst(const Document& aDocument,
-                      const std::vector<Document>& aOthers,
-                      const std::string& aFile);
+Problems CheckAcrossScopes(const Document& aDocument,
+                           const std::vector<Document>& aOthers,
+                           const std::string& aFile);
 
 } // namespace ferrytray::config
--- a/src/ferrytray/config/check.cpp
+++ b/src/ferrytray/config/check.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /// Collects the faults of one document beside the others.
-class Checker
+class ScopeChecker
 {
 public:
-  Checker(const std::vector<Document>& aOthers, std::string aFile)
+  ScopeChecker(const std::vector<Document>& aOthers, std::string aFile)
     : m_others(aOthers)
     , m_file(std::move(aFile))
   {
@@ -18,19 +18,19 @@
 
   /// No name, or any other unique value, may stand in another scope too.
   template<typename List, typename Value>
-  void Unique(const Document& aDocument, List aList, Value aValue, const std::string& aWhat)
+  void CheckUnique(const Document& aDocument, List aList, Value aValue, const std::string& aKind)
   {
-    std::set<std::string> taken;
+    std::set<std::string> seen;
     for (const Document& other : m_others) {
       for (const auto& item : other.*aList) {
-        Insert(taken, aValue(item));
+        Insert(seen, aValue(item));
       }
     }
     for (const auto& item : aDocument.*aList) {
       for (const std::string& value : aValue(item)) {
-        if (!taken.insert(value).second) {
+        if (!seen.insert(value).second) {
           Add(base::ErrorCode::ConfigDuplicate,
-              aWhat + " '" + value + "' stands elsewhere already");
+              aKind + " '" + value + "' stands elsewhere already");
         }
       }
     }
@@ -77,11 +77,13 @@
   return names;
 }
 
-void CheckFleets(const Document& aDocument, const std::vector<Document>& aOthers, Checker& aChecker)
+void CheckFleets(const Document& aDocument,
+                 const std::vector<Document>& aOthers,
+                 ScopeChecker& aChecker)
 {
   std::set<std::string> versions;
-  const auto collect = [&](const Document& aFrom) {
-    for (const Model& model : aFrom.m_models) {
+  const auto collect = [&](const Document& aSource) {
+    for (const Model& model : aSource.m_models) {
       for (const std::string& version : model.m_versions) {
         versions.insert(model.m_name + "@" + version);
       }
@@ -100,14 +102,16 @@
   }
 }
 
-void CheckRules(const Document& aDocument, const std::vector<Document>& aOthers, Checker& aChecker)
+void CheckRules(const Document& aDocument,
+                const std::vector<Document>& aOthers,
+                ScopeChecker& aChecker)
 {
   const auto fleets = NamesOf(aDocument, aOthers, &Document::m_fleets);
   const auto accounts = NamesOf(aDocument, aOthers, &Document::m_accounts);
   for (const HalfRule& rule : aDocument.m_rules) {
-    const bool fleetOk = !rule.m_fleet || fleets.contains(*rule.m_fleet);
-    const bool accountOk = !rule.m_account || accounts.contains(*rule.m_account);
-    if (!fleetOk || !accountOk) {
+    const bool fleetExists = !rule.m_fleet || fleets.contains(*rule.m_fleet);
+    const bool accountExists = !rule.m_account || accounts.contains(*rule.m_account);
+    if (!fleetExists || !accountExists) {
       aChecker.Add(base::ErrorCode::ConfigDanglingReference,
                    "rule '" + rule.m_name + "' names a fleet or account that is nowhere");
     }
@@ -116,18 +120,18 @@
 
 } // namespace
 
-Problems CheckAgainst(const Document& aDocument,
-                      const std::vector<Document>& aOthers,
-                      const std::string& aFile)
+Problems CheckAcrossScopes(const Document& aDocument,
+                           const std::vector<Document>& aOthers,
+                           const std::string& aFile)
 {
-  Checker checker(aOthers, aFile);
-  checker.Unique(aDocument, &Document::m_models, NameOf<Model>, "model");
-  checker.Unique(aDocument, &Document::m_fleets, NameOf<Fleet>, "fleet");
-  checker.Unique(aDocument, &Document::m_services, NameOf<Service>, "service");
-  checker.Unique(aDocument, &Document::m_accounts, NameOf<ClientAccount>, "account");
-  checker.Unique(aDocument, &Document::m_rules, NameOf<HalfRule>, "rule");
+  ScopeChecker checker(aOthers, aFile);
+  checker.CheckUnique(aDocument, &Document::m_models, NameOf<Model>, "model");
+  checker.CheckUnique(aDocument, &Document::m_fleets, NameOf<Fleet>, "fleet");
+  checker.CheckUnique(aDocument, &Document::m_services, NameOf<Service>, "service");
+  checker.CheckUnique(aDocument, &Document::m_accounts, NameOf<ClientAccount>, "account");
+  checker.CheckUnique(aDocument, &Document::m_rules, NameOf<HalfRule>, "rule");
   const auto keys = [](const ClientAccount& aAccount) { return aAccount.m_keyDigests; };
-  checker.Unique(aDocument, &Document::m_accounts, keys, "key digest");
+  checker.CheckUnique(aDocument, &Document::m_accounts, keys, "key digest");
   CheckFleets(aDocument, aOthers, checker);
   CheckRules(aDocument, aOthers, checker);
   return checker.Take();
--- a/src/ferrytray/config/parse.cpp
+++ b/src/ferrytray/config/parse.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kSmallestRate = 1e-6;
+constexpr double kMinRate = 1e-6;
 constexpr std::size_t kSha256HexDigits = 64;
 
 leaf::result<Model> ReadModel(MappingReader& aReader, const YAML::Node&)
@@ -29,13 +29,14 @@
     return weights;
   }
   MappingReader reader(aNode, "weights", aFile);
-  BOOST_LEAF_CHECK(reader.CheckShape());
+  BOOST_LEAF_CHECK(reader.CheckMapping());
   BOOST_LEAF_ASSIGN(weights.m_firstToken,
-                    reader.NumberOr("first_token", weights.m_firstToken, kSmallestRate));
+                    reader.NumberOr("first_token", weights.m_firstToken, kMinRate));
   BOOST_LEAF_ASSIGN(weights.m_recompute, reader.NumberOr("recompute", weights.m_recompute, 0));
   BOOST_LEAF_ASSIGN(weights.m_link, reader.NumberOr("link", weights.m_link, 0));
-  BOOST_LEAF_ASSIGN(weights.m_target, reader.NumberOr("first_token_target", weights.m_target, 0));
-  BOOST_LEAF_CHECK(reader.CheckNoOtherKeys());
+  BOOST_LEAF_ASSIGN(weights.m_firstTokenTarget,
+                    reader.NumberOr("first_token_target", weights.m_firstTokenTarget, 0));
+  BOOST_LEAF_CHECK(reader.CheckNoUnknownKeys());
   return weights;
 }
 
@@ -90,13 +91,12 @@
   ClientAccount account;
   BOOST_LEAF_ASSIGN(account.m_name, aReader.Text("name"));
   BOOST_LEAF_ASSIGN(account.m_keyDigests, aReader.Texts("key_digests"));
-  BOOST_LEAF_ASSIGN(
-    account.m_requestsPerSecond,
-    aReader.NumberOr("requests_per_second", account.m_requestsPerSecond, kSmallestRate));
+  BOOST_LEAF_ASSIGN(account.m_requestsPerSecond,
+                    aReader.NumberOr("requests_per_second", account.m_requestsPerSecond, kMinRate));
   BOOST_LEAF_ASSIGN(account.m_burst, aReader.NumberOr("burst", account.m_burst, 1));
   BOOST_LEAF_ASSIGN(account.m_maxConcurrent,
                     ReadCount(aReader, "max_concurrent", account.m_maxConcurrent));
-  BOOST_LEAF_ASSIGN(account.m_weight, aReader.NumberOr("weight", account.m_weight, kSmallestRate));
+  BOOST_LEAF_ASSIGN(account.m_weight, aReader.NumberOr("weight", account.m_weight, kMinRate));
   for (const std::string& digest : account.m_keyDigests) {
     if (!IsSha256Hex(digest)) {
       return aReader.Fail(
@@ -161,9 +161,9 @@
   std::set<std::string> names;
   for (const auto& node : list) {
     MappingReader reader(node, aKey, aFile);
-    BOOST_LEAF_CHECK(reader.CheckShape());
+    BOOST_LEAF_CHECK(reader.CheckMapping());
     BOOST_LEAF_AUTO(item, aRead(reader, node));
-    BOOST_LEAF_CHECK(reader.CheckNoOtherKeys());
+    BOOST_LEAF_CHECK(reader.CheckNoUnknownKeys());
     if (!names.insert(item.m_name).second) {
       return reader.Fail(
         base::ErrorCode::ConfigDuplicate, node, "name '" + item.m_name + "' stands twice");
@@ -187,7 +187,7 @@
 leaf::result<Document> ReadDocument(const YAML::Node& aRoot, const std::string& aFile)
 {
   MappingReader top(aRoot, "file", aFile);
-  BOOST_LEAF_CHECK(top.CheckShape());
+  BOOST_LEAF_CHECK(top.CheckMapping());
   BOOST_LEAF_CHECK(CheckSchema(top));
   Document document;
   BOOST_LEAF_ASSIGN(document.m_scope, top.Text("scope"));
@@ -201,7 +201,7 @@
   BOOST_LEAF_ASSIGN(document.m_accounts,
                     ReadList<ClientAccount>(top, "accounts", aFile, ReadAccount));
   BOOST_LEAF_ASSIGN(document.m_rules, ReadList<HalfRule>(top, "rules", aFile, ReadRule));
-  BOOST_LEAF_CHECK(top.CheckNoOtherKeys());
+  BOOST_LEAF_CHECK(top.CheckNoUnknownKeys());
   return document;
 }
 
@@ -223,7 +223,7 @@
   return ReadDocument(YAML::Load(std::string(aText)), aFile);
 }
 
-Problem FromYaml(const YAML::Exception& aError, const std::string& aFile)
+Problem ProblemFromYaml(const YAML::Exception& aError, const std::string& aFile)
 {
   const bool known = !aError.mark.is_null();
   return { base::ErrorCode::ConfigSyntax,
@@ -247,7 +247,9 @@
       return Outcome(std::move(document));
     },
     [&](Problem aProblem) { return fail(std::move(aProblem)); },
-    [&](leaf::catch_<YAML::Exception> aCaught) { return fail(FromYaml(aCaught.matched, aFile)); },
+    [&](leaf::catch_<YAML::Exception> aCaught) {
+      return fail(ProblemFromYaml(aCaught.matched, aFile));
+    },
     [&] {
       return fail({ base::ErrorCode::ConfigSyntax, aFile, 1, 1, "unreadable" });
     });
--- a/src/ferrytray/config/parse_test.cpp
+++ b/src/ferrytray/config/parse_test.cpp
@@ -13,7 +13,7 @@
 
 const std::string kDigest(64, 'a');
 
-const std::string kGood = R"(schema: 1
+const std::string kValidFile = R"(schema: 1
 scope: materials
 models:
   - name: datasheet
@@ -29,7 +29,7 @@
 accounts:
   - name: procurement
     key_digests: [)" + kDigest +
-                          R"(]
+                               R"(]
     requests_per_second: 5
 rules:
   - name: move-lab
@@ -49,16 +49,16 @@
 
 TEST_GROUP(ConfigParse){};
 
-TEST(ConfigParse, ReadsEveryKind)
+TEST(ConfigParse, ReadsAllSections)
 {
-  const auto parsed = config::Parse(kGood, "f.yaml");
+  const auto parsed = config::Parse(kValidFile, "f.yaml");
   CHECK(parsed.has_value());
   DOUBLES_EQUAL(2, parsed->m_fleets.front().m_weights.m_recompute, 0);
   STRCMP_EQUAL("lab", parsed->m_rules.front().m_fleet->c_str());
-  CHECK(config::CheckAgainst(*parsed, {}, "f.yaml").empty());
+  CHECK(config::CheckAcrossScopes(*parsed, {}, "f.yaml").empty());
 }
 
-TEST(ConfigParse, SaysWhereAndWhatWasExpected)
+TEST(ConfigParse, ReportsPositionAndExpectedValue)
 {
   const auto parsed =
     config::Parse("schema: 1\nscope: a\nfleets:\n  - name: x\n    modle: y\n", "f.yaml");
@@ -70,7 +70,7 @@
                config::ToString(unknown.error().front()).c_str());
 }
 
-TEST(ConfigParse, RefusesBadFilesWhole)
+TEST(ConfigParse, RejectsInvalidFiles)
 {
   const std::string head = "schema: 1\nscope: a\n";
   CHECK(CodeOf(head + "accounts: [{name: a, key_digests: [x]}]") == ErrorCode::ConfigBadValue);
@@ -89,21 +89,21 @@
 
 TEST(ConfigParse, FindsDuplicatesAndDanglingReferencesAcrossScopes)
 {
-  const auto base = config::Parse(kGood, "f.yaml").value();
+  const auto base = config::Parse(kValidFile, "f.yaml").value();
   auto other = base;
   other.m_scope = "other";
-  const auto twice = config::CheckAgainst(base, { other }, "f.yaml");
-  CHECK(twice.front().m_code == ErrorCode::ConfigDuplicate);
+  const auto duplicates = config::CheckAcrossScopes(base, { other }, "f.yaml");
+  CHECK(duplicates.front().m_code == ErrorCode::ConfigDuplicate);
   auto dangling = base;
   dangling.m_fleets.front().m_version = "9";
-  const auto problems = config::CheckAgainst(dangling, {}, "f.yaml");
+  const auto problems = config::CheckAcrossScopes(dangling, {}, "f.yaml");
   CHECK(problems.front().m_code == ErrorCode::ConfigDanglingReference);
 }
 
-TEST(ConfigParse, AnyBytesGiveAnAnswerAndNoCrash)
+TEST(ConfigParse, SurvivesMutatedInput)
 {
   const bool holds = rc::check("mutated files", [] {
-    std::string text = kGood;
+    std::string text = kValidFile;
     const int edits = *rc::gen::inRange(1, 6);
     for (int i = 0; i < edits; ++i) {
       text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::arbitrary<char>();
@@ -114,9 +114,9 @@
   CHECK(holds);
 }
 
-TEST(ConfigParse, DiffNamesWhatChanged)
+TEST(ConfigParse, DiffListsChangedObjects)
 {
-  const auto before = config::Parse(kGood, "f.yaml").value();
+  const auto before = config::Parse(kValidFile, "f.yaml").value();
   auto after = before;
   after.m_accounts.front().m_weight = 3;
   after.m_services.clear();
--- a/src/ferrytray/config/yaml_reader.cpp
+++ b/src/ferrytray/config/yaml_reader.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kMaxNameBytes = 256;
 
 template<typename Number>
-bool ReadNumber(const std::string& aText, Number& aNumber)
+bool ParseNumber(const std::string& aText, Number& aNumber)
 {
   const char* end = aText.data() + aText.size();
   const auto [stop, code] = std::from_chars(aText.data(), end, aNumber);
@@ -19,16 +19,16 @@
 } // namespace
 
 leaf::error_id MappingReader::Fail(base::ErrorCode aCode,
-                                   const YAML::Node& aAt,
+                                   const YAML::Node& aLocation,
                                    const std::string& aMessage) const
 {
-  const YAML::Mark mark = aAt.IsDefined() ? aAt.Mark() : m_node.Mark();
+  const YAML::Mark mark = aLocation.IsDefined() ? aLocation.Mark() : m_node.Mark();
   const int line = mark.is_null() ? 1 : mark.line + 1;
   const int column = mark.is_null() ? 1 : mark.column + 1;
-  return leaf::new_error(Problem{ aCode, m_file, line, column, m_what + ": " + aMessage });
+  return leaf::new_error(Problem{ aCode, m_file, line, column, m_context + ": " + aMessage });
 }
 
-leaf::result<void> MappingReader::CheckShape() const
+leaf::result<void> MappingReader::CheckMapping() const
 {
   if (!m_node.IsMap()) {
     return Fail(base::ErrorCode::ConfigBadValue, m_node, "expected a mapping (key: value)");
@@ -49,7 +49,7 @@
 
 YAML::Node MappingReader::Child(const std::string& aKey)
 {
-  m_asked.insert(aKey);
+  m_requestedKeys.insert(aKey);
   // Through a const node: operator[] of a non-const one would add the key.
   const YAML::Node& node = m_node;
   return node[aKey];
@@ -96,7 +96,7 @@
 
 leaf::result<double> MappingReader::NumberOr(const std::string& aKey,
                                              double aDefault,
-                                             double aLeast)
+                                             double aMinimum)
 {
   const YAML::Node child = Child(aKey);
   if (!child.IsDefined()) {
@@ -104,11 +104,11 @@
   }
   BOOST_LEAF_AUTO(text, Scalar(child, aKey));
   double number = 0;
-  const bool read = ReadNumber(text, number) && std::isfinite(number);
-  if (!read || number < aLeast) {
+  const bool read = ParseNumber(text, number) && std::isfinite(number);
+  if (!read || number < aMinimum) {
     return Fail(base::ErrorCode::ConfigBadValue,
                 child,
-                "'" + aKey + "' expects a number of at least " + std::to_string(aLeast) +
+                "'" + aKey + "' expects a number of at least " + std::to_string(aMinimum) +
                   ", not '" + text + "'");
   }
   return number;
@@ -122,7 +122,7 @@
   }
   BOOST_LEAF_AUTO(text, Scalar(child, aKey));
   std::uint32_t number = 0;
-  if (!ReadNumber(text, number) || number == 0) {
+  if (!ParseNumber(text, number) || number == 0) {
     return Fail(base::ErrorCode::ConfigBadValue,
                 child,
                 "'" + aKey + "' expects a whole number from 1 to 4294967295, not '" + text + "'");
@@ -164,14 +164,14 @@
   return texts;
 }
 
-leaf::result<void> MappingReader::CheckNoOtherKeys() const
+leaf::result<void> MappingReader::CheckNoUnknownKeys() const
 {
   for (const auto& pair : m_node) {
-    if (m_asked.contains(pair.first.Scalar())) {
+    if (m_requestedKeys.contains(pair.first.Scalar())) {
       continue;
     }
     std::string known;
-    for (const std::string& key : m_asked) {
+    for (const std::string& key : m_requestedKeys) {
       known += (known.empty() ? "" : ", ") + key;
     }
     return Fail(base::ErrorCode::ConfigUnknownKey,
--- a/src/ferrytray/config/yaml_reader.hpp
+++ b/src/ferrytray/config/yaml_reader.hpp
@@ -19,37 +19,37 @@
 class MappingReader
 {
 public:
-  MappingReader(const YAML::Node& aNode, std::string aWhat, std::string aFile)
+  MappingReader(const YAML::Node& aNode, std::string aContext, std::string aFile)
     : m_node(aNode)
-    , m_what(std::move(aWhat))
+    , m_context(std::move(aContext))
     , m_file(std::move(aFile))
   {
   }
 
   /// Fails unless the node is a mapping without repeated keys.
-  leaf::result<void> CheckShape() const;
+  leaf::result<void> CheckMapping() const;
   leaf::result<std::string> Text(const std::string& aKey);
   leaf::result<std::string> TextOr(const std::string& aKey, std::string aDefault);
-  leaf::result<double> NumberOr(const std::string& aKey, double aDefault, double aLeast);
+  leaf::result<double> NumberOr(const std::string& aKey, double aDefault, double aMinimum);
   leaf::result<std::uint64_t> CountOr(const std::string& aKey, std::uint64_t aDefault);
   leaf::result<bool> FlagOr(const std::string& aKey, bool aDefault);
   leaf::result<std::vector<std::string>> Texts(const std::string& aKey);
   /// The value as it is, perhaps undefined.
   YAML::Node Child(const std::string& aKey);
   /// Fails when the mapping has a key that nobody asked for.
-  leaf::result<void> CheckNoOtherKeys() const;
+  leaf::result<void> CheckNoUnknownKeys() const;
 
   [[nodiscard]] leaf::error_id Fail(base::ErrorCode aCode,
-                                    const YAML::Node& aAt,
+                                    const YAML::Node& aLocation,
                                     const std::string& aMessage) const;
 
 private:
   leaf::result<std::string> Scalar(const YAML::Node& aNode, const std::string& aKey) const;
 
   YAML::Node m_node;
-  std::string m_what;
+  std::string m_context;
   std::string m_file;
-  std::set<std::string> m_asked;
+  std::set<std::string> m_requestedKeys;
 };
 
 } // namespace ferrytray::config
--- a/src/ferrytray/gate/model_exchange.cpp
+++ b/src/ferrytray/gate/model_exchange.cpp
@@ -156,7 +156,7 @@
   const config::PolicyWeights& weights = m_call.m_fleet.m_weights;
   routing::ChooseOptions options;
   options.m_weights = {
-    weights.m_firstToken, weights.m_recompute, weights.m_link, weights.m_target
+    weights.m_firstToken, weights.m_recompute, weights.m_link, weights.m_firstTokenTarget
   };
   options.m_trust = m_core.m_options.m_loadTrust;
   const std::uint64_t random = base::Hash64(m_call.m_request, std::to_string(m_attempts));
--- a/tools/cli_apply.cpp
+++ b/tools/cli_apply.cpp
@@ -174,7 +174,7 @@
   }
   const std::string& scope = aFile.m_document.m_scope;
   const auto problems =
-    config::CheckAgainst(aFile.m_document, DocumentsIn(before->m_replay, scope), aFile.m_name);
+    config::CheckAcrossScopes(aFile.m_document, DocumentsIn(before->m_replay, scope), aFile.m_name);
   if (!problems.empty()) {
     PrintProblems(problems);
     return settings::kExitFailed;
--- a/tools/cli_main.cpp
+++ b/tools/cli_main.cpp
@@ -65,7 +65,7 @@
         others.push_back(other.m_document);
       }
     }
-    const auto problems = config::CheckAgainst(file.m_document, others, file.m_name);
+    const auto problems = config::CheckAcrossScopes(file.m_document, others, file.m_name);
     PrintProblems(problems);
     ok = ok && problems.empty();
   }
