--- a/include/ferrytray/config/diff.hpp
+++ b/include/ferrytray/config/diff.hpp
@@ -7,7 +7,7 @@
 
 namespace ferrytray::config {
 
-/// @brief What one object of a scope goes through.
+/// @brief How an object of a scope changes.
 enum class ChangeKind : std::uint8_t
 {
   Added,
@@ -21,10 +21,11 @@
   std::string m_object; ///< such as "account lab"
 };
 
-/// @brief The objects that differ between two contents of a scope, by name.
+/// @brief Returns the objects that differ between two versions of a scope, matched by name.
 std::vector<Change> Diff(const Document& aBefore, const Document& aAfter);
 
-/// @brief "+ account lab", "~ account lab" or "- account lab".
+/// @brief Formats a change such as "+ account lab" (added), "~ account lab" (changed) or
+/// "- account lab" (removed).
 std::string ToString(const Change& aChange);
 
 } // namespace ferrytray::config
--- a/include/ferrytray/config/document.hpp
+++ b/include/ferrytray/config/document.hpp
@@ -7,17 +7,17 @@
 
 namespace ferrytray::config {
 
-/// @brief How much each cost counts when a worker and a plan are chosen.
+/// @brief Weights of the costs by which a worker and a plan are chosen.
 struct PolicyWeights
 {
-  double m_firstToken = 1;       ///< for a second until the first token
-  double m_recompute = 0;        ///< for a second of engine time spent on context that was kept
-  double m_link = 0;             ///< for a second of a store's link
-  double m_firstTokenTarget = 0; ///< first token wanted within so many seconds; 0: no target
+  double m_firstToken = 1;       ///< per second until the first token
+  double m_recompute = 0;        ///< per second of engine time spent on recomputing cached context
+  double m_link = 0;             ///< per second of use of a store's link
+  double m_firstTokenTarget = 0; ///< target time to the first token in seconds; 0 for no target
   auto operator<=>(const PolicyWeights&) const = default;
 };
 
-/// @brief A model and the weight versions that may be ordered.
+/// @brief A model and the weight versions that engines may be ordered to load.
 struct Model
 {
   std::string m_name;
@@ -30,26 +30,26 @@
 {
   std::string m_name;
   std::string m_model;
-  std::string m_version;                  ///< the version to run; new requests use it
-  std::uint32_t m_maxConcurrentSwaps = 1; ///< over all availability zones
-  bool m_checksFencing = false;           ///< whether its endpoints refuse old fencing numbers
+  std::string m_version;                  ///< the version to run, used by new requests
+  std::uint32_t m_maxConcurrentSwaps = 1; ///< across all availability zones
+  bool m_checksFencing = false;           ///< whether its endpoints refuse outdated fencing tokens
   std::uint32_t m_blockBytes = 1024;      ///< prompt bytes in one KV block
   std::uint32_t m_blockTokens = 256;
-  std::uint32_t m_kvBytesPerToken = 131072; ///< bytes of KV cache a token takes on a link
+  std::uint32_t m_kvBytesPerToken = 131072; ///< bytes of KV cache per token transferred over a link
   PolicyWeights m_weights;
   auto operator<=>(const Fleet&) const = default;
 };
 
-/// @brief A plain service behind a path prefix.
+/// @brief A service without a model, routed by path prefix.
 struct Service
 {
   std::string m_name;
   std::string m_pathPrefix;
-  bool m_idempotent = false; ///< whether its calls may be repeated unless the caller says otherwise
+  bool m_idempotent = false; ///< whether calls may be retried unless the caller says otherwise
   auto operator<=>(const Service&) const = default;
 };
 
-/// @brief One customer of an operator, known by the digests of its keys.
+/// @brief A client account of an operator, identified by the digests of its keys.
 struct ClientAccount
 {
   std::string m_name;
@@ -57,11 +57,11 @@
   double m_requestsPerSecond = 10;
   double m_burst = 20;
   std::uint32_t m_maxConcurrent = 100;
-  double m_weight = 1; ///< its share where accounts compete
+  double m_weight = 1; ///< its relative share when accounts compete
   auto operator<=>(const ClientAccount&) const = default;
 };
 
-/// @brief Which half serves.
+/// @brief Which half serves a fleet or a client account, as seen from this half.
 enum class Owner : std::uint8_t
 {
   Here,
@@ -69,19 +69,19 @@
   There,
 };
 
-/// @brief Which half owns a fleet or a client account.
+/// @brief Assigns a fleet or a client account to one of the two halves.
 struct HalfRule
 {
   std::string m_name;
-  std::optional<std::string> m_fleet; ///< exactly one of fleet and account is set
+  std::optional<std::string> m_fleet; ///< exactly one of m_fleet and m_account is set
   std::optional<std::string> m_account;
   Owner m_owner = Owner::Here;
   std::uint64_t m_epoch = 1;
-  std::string m_otherHalf; ///< URL told to callers that this half does not serve
+  std::string m_otherHalf; ///< URL of the other half, sent to callers that this half does not serve
   auto operator<=>(const HalfRule&) const = default;
 };
 
-/// @brief One configuration file: the whole content of its scope.
+/// @brief One configuration file: the complete content of its scope.
 struct Document
 {
   std::string m_scope;
--- a/include/ferrytray/config/parse.hpp
+++ b/include/ferrytray/config/parse.hpp
@@ -12,12 +12,12 @@
 
 namespace ferrytray::config {
 
-/// @brief The schema number that this program writes and reads.
+/// @brief The schema version that this program writes and reads.
 inline constexpr int kSchema = 1;
-/// @brief Longer files are refused unread (bytes).
+/// @brief Size limit of a file in bytes; larger files are rejected without parsing.
 inline constexpr std::size_t kMaxFileBytes = 4U << 20U;
 
-/// @brief One fault of a file, with its place.
+/// @brief An error in a file, with its position.
 struct Problem
 {
   base::ErrorCode m_code = base::ErrorCode::ConfigSyntax;
@@ -29,21 +29,21 @@
 
 using Problems = std::vector<Problem>;
 
-/// @brief "file:line:column: message (code)".
+/// @brief Formats a problem as "file:line:column: message (error code)".
 std::string ToString(const Problem& aProblem);
 
-/// @brief Reads a YAML configuration file. It is taken whole or not at all.
-/// @param aText the file's bytes
+/// @brief Parses a YAML configuration file. A file with an error is rejected as a whole.
+/// @param aText the content of the file
 /// @param aFile its name, for messages
-/// @return the document, or every fault found
+/// @return the document, or the problems found
 ///
 /// @code
 /// auto document = config::Parse(text, "accounts.yaml");
 /// @endcode
 tl::expected<Document, Problems> Parse(std::string_view aText, const std::string& aFile);
 
-/// @brief Faults that only show beside the other scopes in force: duplicate names and references
-/// to nothing.
+/// @brief Finds errors that depend on the other scopes in force: duplicate names and dangling
+/// references.
 /// @param aDocument the new content of its scope
 /// @param aOthers every other scope in force
 /// @param aFile its name, for messages
--- a/src/ferrytray/config/check.cpp
+++ b/src/ferrytray/config/check.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Collects the faults of one document beside the others.
+/// Collects the problems of a document in the context of the other scopes.
 class ScopeChecker
 {
 public:
@@ -16,7 +16,7 @@
   {
   }
 
-  /// No name, or any other unique value, may stand in another scope too.
+  /// Checks that no value, such as a name, is used twice in the document and the other scopes.
   template<typename List, typename Value>
   void CheckUnique(const Document& aDocument, List aList, Value aValue, const std::string& aKind)
   {
@@ -29,8 +29,7 @@
     for (const auto& item : aDocument.*aList) {
       for (const std::string& value : aValue(item)) {
         if (!seen.insert(value).second) {
-          Add(base::ErrorCode::ConfigDuplicate,
-              aKind + " '" + value + "' stands elsewhere already");
+          Add(base::ErrorCode::ConfigDuplicate, aKind + " '" + value + "' is already defined");
         }
       }
     }
@@ -96,8 +95,8 @@
   for (const Fleet& fleet : aDocument.m_fleets) {
     if (!versions.contains(fleet.m_model + "@" + fleet.m_version)) {
       aChecker.Add(base::ErrorCode::ConfigDanglingReference,
-                   "fleet '" + fleet.m_name + "' names model '" + fleet.m_model + "' version '" +
-                     fleet.m_version + "', which is nowhere; expected a model that lists it");
+                   "fleet '" + fleet.m_name + "' refers to model '" + fleet.m_model +
+                     "' version '" + fleet.m_version + "', which is not listed by any model");
     }
   }
 }
@@ -113,7 +112,7 @@
     const bool accountExists = !rule.m_account || accounts.contains(*rule.m_account);
     if (!fleetExists || !accountExists) {
       aChecker.Add(base::ErrorCode::ConfigDanglingReference,
-                   "rule '" + rule.m_name + "' names a fleet or account that is nowhere");
+                   "rule '" + rule.m_name + "' refers to a fleet or account that does not exist");
     }
   }
 }
--- a/src/ferrytray/config/parse.cpp
+++ b/src/ferrytray/config/parse.cpp
@@ -166,7 +166,7 @@
     BOOST_LEAF_CHECK(reader.CheckNoUnknownKeys());
     if (!names.insert(item.m_name).second) {
       return reader.Fail(
-        base::ErrorCode::ConfigDuplicate, node, "name '" + item.m_name + "' stands twice");
+        base::ErrorCode::ConfigDuplicate, node, "name '" + item.m_name + "' is defined twice");
     }
     items.push_back(std::move(item));
   }
@@ -230,7 +230,7 @@
            aFile,
            known ? aError.mark.line + 1 : 1,
            known ? aError.mark.column + 1 : 1,
-           "not YAML: " + aError.msg };
+           "invalid YAML: " + aError.msg };
 }
 
 } // namespace
--- a/src/ferrytray/config/yaml_reader.cpp
+++ b/src/ferrytray/config/yaml_reader.cpp
@@ -36,12 +36,12 @@
   std::set<std::string> seen;
   for (const auto& pair : m_node) {
     if (!pair.first.IsScalar()) {
-      return Fail(base::ErrorCode::ConfigBadValue, pair.first, "expected a plain key");
+      return Fail(base::ErrorCode::ConfigBadValue, pair.first, "expected a scalar key");
     }
     if (!seen.insert(pair.first.Scalar()).second) {
       return Fail(base::ErrorCode::ConfigDuplicate,
                   pair.first,
-                  "key '" + pair.first.Scalar() + "' stands twice");
+                  "key '" + pair.first.Scalar() + "' is defined twice");
     }
   }
   return {};
@@ -50,7 +50,7 @@
 YAML::Node MappingReader::Child(const std::string& aKey)
 {
   m_requestedKeys.insert(aKey);
-  // Through a const node: operator[] of a non-const one would add the key.
+  // On a const node, because operator[] of a non-const node would insert the key.
   const YAML::Node& node = m_node;
   return node[aKey];
 }
--- a/src/ferrytray/config/yaml_reader.hpp
+++ b/src/ferrytray/config/yaml_reader.hpp
@@ -15,7 +15,8 @@
 
 namespace leaf = boost::leaf;
 
-/// Reads one YAML mapping and remembers which keys were asked for, so that the rest are unknown.
+/// Reads one YAML mapping and records the requested keys, so that all others can be reported as
+/// unknown.
 class MappingReader
 {
 public:
@@ -26,7 +27,7 @@
   {
   }
 
-  /// Fails unless the node is a mapping without repeated keys.
+  /// Fails unless the node is a mapping with scalar keys and without duplicate keys.
   leaf::result<void> CheckMapping() const;
   leaf::result<std::string> Text(const std::string& aKey);
   leaf::result<std::string> TextOr(const std::string& aKey, std::string aDefault);
@@ -34,9 +35,9 @@
   leaf::result<std::uint64_t> CountOr(const std::string& aKey, std::uint64_t aDefault);
   leaf::result<bool> FlagOr(const std::string& aKey, bool aDefault);
   leaf::result<std::vector<std::string>> Texts(const std::string& aKey);
-  /// The value as it is, perhaps undefined.
+  /// Returns the value of a key; an undefined node if the key is missing.
   YAML::Node Child(const std::string& aKey);
-  /// Fails when the mapping has a key that nobody asked for.
+  /// Fails if the mapping has a key that was not requested.
   leaf::result<void> CheckNoUnknownKeys() const;
 
   [[nodiscard]] leaf::error_id Fail(base::ErrorCode aCode,
