--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -5,7 +5,7 @@
 
 #include "ferrytray/cache/store_upkeep.hpp"  // for StoreUpkeep, FreeParts
 #include "ferrytray/relay/relay_core.hpp"    // for RelayCore
-#include "ferrytray/rollout/leased_task.hpp" // for LeasedTask
+#include "ferrytray/rollout/leased_duty.hpp" // for LeasedDuty
 
 namespace ferrytray::relay {
 
@@ -18,7 +18,7 @@
 };
 
 /// @brief Frees stored parts that nobody will ask for again; one host at a time.
-class UpkeepDuty final : public rollout::LeasedTask
+class UpkeepDuty final : public rollout::LeasedDuty
 {
 public:
   UpkeepDuty(RelayCore& aCore, PartFreer& aFreer)
--- a/include/ferrytray/rollout/leased_task.hpp
+++ b/include/ferrytray/rollout/leased_duty.hpp
@@ -5,10 +5,10 @@
 namespace ferrytray::rollout {
 
 /// @brief A task that only the holder of the order lease may run.
-class LeasedTask
+class LeasedDuty
 {
 public:
-  virtual ~LeasedTask() = default;
+  virtual ~LeasedDuty() = default;
   /// @brief Returns whether there is work that justifies taking the lease.
   [[nodiscard]] virtual bool HasWork(base::TimePoint aNow) = 0;
   /// @brief Does the work that is due. Called only while the lease is held.
--- a/include/ferrytray/rollout/rollout_driver.hpp
+++ b/include/ferrytray/rollout/rollout_driver.hpp
@@ -11,7 +11,7 @@
 #include "ferrytray/fleet/directory.hpp"       // for Directory
 #include "ferrytray/net/loop.hpp"              // for Loop
 #include "ferrytray/rollout/engine_client.hpp" // for EngineClient
-#include "ferrytray/rollout/leased_task.hpp"   // for LeasedTask
+#include "ferrytray/rollout/leased_duty.hpp"   // for LeasedDuty
 #include "ferrytray/store/record_log.hpp"      // for RecordLog
 
 namespace ferrytray::rollout {
@@ -33,7 +33,7 @@
   base::Duration m_leaseJitter = std::chrono::milliseconds(300);
   /// The same for leased tasks. They are not urgent, and with a longer delay most hosts find them
   /// done before they try.
-  base::Duration m_taskLeaseJitter = std::chrono::milliseconds(3000);
+  base::Duration m_dutyLeaseJitter = std::chrono::milliseconds(3000);
   /// Interval at which the lease topic is read while another host holds the lease.
   base::Duration m_leasePollInterval = std::chrono::milliseconds(1500);
   base::Duration m_readTimeout = std::chrono::milliseconds(1000);
@@ -78,7 +78,7 @@
                 const std::map<std::string, fleet::WeightVersion>& aWanted,
                 RolloutOptions aOptions);
   /// @brief Adds a task to run while the lease is held. It must outlive the driver.
-  void AddLeasedTask(LeasedTask& aTask) { m_leasedTasks.push_back(&aTask); }
+  void AddDuty(LeasedDuty& aDuty) { m_duties.push_back(&aDuty); }
   /// @brief Sets the callback for each planned reload; called again when its expected end changes.
   void OnReload(std::function<void(const PlannedReload&)> aCall) { m_onReload = std::move(aCall); }
   void Start();
@@ -111,7 +111,7 @@
   void Tick();
   [[nodiscard]] bool HasOutdatedEngines() const;
   [[nodiscard]] bool IsOtherHostOrdering(base::TimePoint aNow) const;
-  [[nodiscard]] bool HasTaskWork(base::TimePoint aNow) const;
+  [[nodiscard]] bool HasDutyWork(base::TimePoint aNow) const;
   void MaintainLease(base::TimePoint aNow);
   void ReadLease();
   void AppendLease(base::TimePoint aNow);
@@ -146,7 +146,7 @@
   /// By model; cleared when no engine is outdated.
   std::map<std::string, base::TimePoint> m_outdatedSince;
   std::map<std::string, Engine> m_engines; ///< by incarnation
-  std::vector<LeasedTask*> m_leasedTasks;
+  std::vector<LeasedDuty*> m_duties;
   std::function<void(const PlannedReload&)> m_onReload;
   base::Duration m_expectedLoadTime; ///< moving estimate
   std::uint64_t m_revision = 0;
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -96,7 +96,7 @@
     return news;
   }
   m_rollout.SetStandby(true); // until it is known to be one of those that read
-  m_rollout.AddLeasedTask(m_upkeep);
+  m_rollout.AddDuty(m_upkeep);
   m_rollout.OnReload([this](const rollout::PlannedReload& aReload) { OnReload(aReload); });
   m_rollout.Start();
   telemetry::LogLine("start")
--- a/src/ferrytray/rollout/rollout_driver.cpp
+++ b/src/ferrytray/rollout/rollout_driver.cpp
@@ -61,7 +61,7 @@
   if (!outdated) {
     m_outdatedSince.clear();
   }
-  if (!outdated && !HasTaskWork(now)) {
+  if (!outdated && !HasDutyWork(now)) {
     m_leaseAttemptAt.reset();
     return;
   }
@@ -70,7 +70,7 @@
   }
   if (!m_leaseAttemptAt) {
     const base::Duration maxJitter =
-      outdated ? m_options.m_leaseJitter : m_options.m_taskLeaseJitter;
+      outdated ? m_options.m_leaseJitter : m_options.m_dutyLeaseJitter;
     const auto jitter = static_cast<std::uint64_t>(maxJitter.count());
     m_leaseAttemptAt =
       now + base::Duration(m_wasHolder ? 0 : std::random_device{}() % (jitter + 1));
@@ -90,8 +90,8 @@
     SendAnnouncedOrders(model, version);
     PlanSwaps(model, version, now);
   }
-  for (LeasedTask* task : m_leasedTasks) {
-    task->DoWork(now);
+  for (LeasedDuty* duty : m_duties) {
+    duty->DoWork(now);
   }
 }
 
@@ -113,12 +113,12 @@
   return aNow < *m_otherHostOrderedAt + holdOff;
 }
 
-bool RolloutDriver::HasTaskWork(base::TimePoint aNow) const
+bool RolloutDriver::HasDutyWork(base::TimePoint aNow) const
 {
   // Every task is queried, as an idle task updates its state in HasWork().
   bool pending = false;
-  for (LeasedTask* task : m_leasedTasks) {
-    pending = task->HasWork(aNow) || pending;
+  for (LeasedDuty* duty : m_duties) {
+    pending = duty->HasWork(aNow) || pending;
   }
   return pending;
 }
