--- a/include/ferrytray/rollout/leased_duty.hpp
+++ b/include/ferrytray/rollout/leased_duty.hpp
@@ -4,7 +4,7 @@
 
 namespace ferrytray::rollout {
 
-/// @brief A task that only the holder of the order lease may run.
+/// @brief Work that only the holder of the order lease may do.
 class LeasedDuty
 {
 public:
--- a/include/ferrytray/rollout/rollout_driver.hpp
+++ b/include/ferrytray/rollout/rollout_driver.hpp
@@ -31,7 +31,7 @@
   /// Upper limit of the random delay before a host tries to take the lease, so that hosts do not
   /// compete for it.
   base::Duration m_leaseJitter = std::chrono::milliseconds(300);
-  /// The same for leased tasks. They are not urgent, and with a longer delay most hosts find them
+  /// The same for leased duties. They are not urgent, and with a longer delay most hosts find them
   /// done before they try.
   base::Duration m_dutyLeaseJitter = std::chrono::milliseconds(3000);
   /// Interval at which the lease topic is read while another host holds the lease.
@@ -77,7 +77,7 @@
                 EngineClient& aEngineClient,
                 const std::map<std::string, fleet::WeightVersion>& aWanted,
                 RolloutOptions aOptions);
-  /// @brief Adds a task to run while the lease is held. It must outlive the driver.
+  /// @brief Adds a duty to run while the lease is held. It must outlive the driver.
   void AddDuty(LeasedDuty& aDuty) { m_duties.push_back(&aDuty); }
   /// @brief Sets the callback for each planned reload; called again when its expected end changes.
   void OnReload(std::function<void(const PlannedReload&)> aCall) { m_onReload = std::move(aCall); }
--- a/src/ferrytray/rollout/rollout_driver.cpp
+++ b/src/ferrytray/rollout/rollout_driver.cpp
@@ -115,7 +115,7 @@
 
 bool RolloutDriver::HasDutyWork(base::TimePoint aNow) const
 {
-  // Every task is queried, as an idle task updates its state in HasWork().
+  // Every duty is queried, as an idle duty updates its state in HasWork().
   bool pending = false;
   for (LeasedDuty* duty : m_duties) {
     pending = duty->HasWork(aNow) || pending;
