--- a/include/ferrytray/once/answer_store.hpp
+++ b/include/ferrytray/once/answer_store.hpp
@@ -10,7 +10,8 @@
 
 namespace ferrytray::once {
 
-/// @brief Answers of keyed requests, kept within a byte budget; the oldest go first.
+/// @brief Stores the answers to requests with an Idempotency-Key within a byte budget; evicts the
+/// oldest first.
 class AnswerStore
 {
 public:
@@ -19,10 +20,11 @@
   {
   }
 
-  /// @brief Keeps an answer under its key; one larger than the budget is not kept.
-  void Keep(const base::Digest128& aKey, KeptAnswer aAnswer);
-  /// @brief The kept answer, if it is still there.
-  [[nodiscard]] std::optional<KeptAnswer> Find(const base::Digest128& aKey) const;
+  /// @brief Stores an answer under its key. Ignores answers larger than the budget and keys that
+  /// already have an answer.
+  void Put(const base::Digest128& aKey, StoredAnswer aAnswer);
+  /// @brief Returns the stored answer unless it was evicted.
+  [[nodiscard]] std::optional<StoredAnswer> Find(const base::Digest128& aKey) const;
   [[nodiscard]] std::size_t Bytes() const { return m_bytes; }
 
 private:
@@ -31,7 +33,7 @@
   std::size_t m_maxBytes;
   std::size_t m_bytes = 0;
   std::deque<base::Digest128> m_order;
-  std::unordered_map<base::Digest128, KeptAnswer, base::DigestHash> m_answers;
+  std::unordered_map<base::Digest128, StoredAnswer, base::DigestHash> m_answers;
 };
 
 } // namespace ferrytray::once
--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -27,8 +27,8 @@
   {
   }
 
-  [[nodiscard]] bool Pending(base::TimePoint aNow) override;
-  void Act(base::TimePoint aNow) override;
+  [[nodiscard]] bool HasWork(base::TimePoint aNow) override;
+  void DoWork(base::TimePoint aNow) override;
 
 private:
   RelayCore& m_core;
--- a/include/ferrytray/rollout/leased_duty.hpp
+++ b/include/ferrytray/rollout/leased_duty.hpp
@@ -4,15 +4,15 @@
 
 namespace ferrytray::rollout {
 
-/// @brief Work that only the host with the order lease may do.
+/// @brief Work that only the holder of the order lease may do.
 class LeasedDuty
 {
 public:
   virtual ~LeasedDuty() = default;
-  /// @brief Whether there is something to do, so that the lease is worth taking.
-  [[nodiscard]] virtual bool Pending(base::TimePoint aNow) = 0;
-  /// @brief Does what is due. Called only while the lease holds.
-  virtual void Act(base::TimePoint aNow) = 0;
+  /// @brief Returns whether there is work that justifies taking the lease.
+  [[nodiscard]] virtual bool HasWork(base::TimePoint aNow) = 0;
+  /// @brief Does the work that is due. Called only while the lease is held.
+  virtual void DoWork(base::TimePoint aNow) = 0;
 };
 
 } // namespace ferrytray::rollout
--- a/include/ferrytray/rollout/rollout_driver.hpp
+++ b/include/ferrytray/rollout/rollout_driver.hpp
@@ -5,98 +5,102 @@
 #include <string>     // for string
 #include <vector>     // for vector
 
-#include "ferrytray/base/time.hpp"            // for Duration, TimePoint
-#include "ferrytray/control/order_lease.hpp"  // for OrderLease
-#include "ferrytray/control/swap_planner.hpp" // for SwapPlanner
-#include "ferrytray/fleet/directory.hpp"      // for Directory
-#include "ferrytray/net/loop.hpp"             // for Loop
-#include "ferrytray/rollout/leased_duty.hpp"  // for LeasedDuty
-#include "ferrytray/rollout/order_sink.hpp"   // for OrderSink
-#include "ferrytray/store/record_log.hpp"     // for RecordLog
+#include "ferrytray/base/time.hpp"             // for Duration, TimePoint
+#include "ferrytray/control/order_lease.hpp"   // for OrderLease
+#include "ferrytray/control/swap_planner.hpp"  // for SwapPlanner
+#include "ferrytray/fleet/directory.hpp"       // for Directory
+#include "ferrytray/net/loop.hpp"              // for Loop
+#include "ferrytray/rollout/engine_client.hpp" // for EngineClient
+#include "ferrytray/rollout/leased_duty.hpp"   // for LeasedDuty
+#include "ferrytray/store/record_log.hpp"      // for RecordLog
 
 namespace ferrytray::rollout {
 
 struct RolloutOptions
 {
-  std::string m_self; ///< this incarnation of the host; the lease's holder
+  std::string m_self; ///< this incarnation of the host; its name as lease holder
   std::string m_topic = "ferrytray.orders";
   control::OrderLeaseOptions m_lease;
-  /// Also the time from an announcement to its order. Hosts hear of it within three of these.
-  /// Waiting for the last of them would idle the engine, which costs more than a few rejections,
-  /// each told within milliseconds: with 350 ms instead, mean worth of days with a roll-out was
-  /// 0.013 lower.
-  base::Duration m_tick = std::chrono::milliseconds(100);
-  /// A longer gap between ticks means that the process stood still: the lease is given up.
-  base::Duration m_stall = std::chrono::milliseconds(700);
-  /// Hosts wait a random part of this before they try for the lease, so that one of them is first.
-  base::Duration m_spread = std::chrono::milliseconds(300);
-  /// The same for duties, which are in no hurry: most hosts see them done before they try.
-  base::Duration m_dutySpread = std::chrono::milliseconds(3000);
-  /// While another host holds the lease, the topic is read again after this.
-  base::Duration m_watchEvery = std::chrono::milliseconds(1500);
-  base::Duration m_readPatience = std::chrono::milliseconds(1000);
-  base::Duration m_stateEvery = std::chrono::milliseconds(150); ///< while an engine loads
-  /// How long a load takes before one was seen here.
-  base::Duration m_usualLoad = std::chrono::milliseconds(1200);
-  /// Part of a model's engines that may swap at once. Both sites slow loads down past a sixth or so
-  /// (3 of 18, 2 of 14); in trials 0.34 cost a quarter of quiet-1's worth through lost capacity.
-  double m_widthShare = 0.17;
-  /// The same when a roll-out is late, such as after its first holder died: capacity counts less
-  /// then than the time in which no request may begin on older weights any more.
-  double m_lateWidthShare = 0.23;
-  /// Requests may begin on older weights for so long (settings); late is after m_lateAfter of it.
-  base::Duration m_due = std::chrono::seconds(12);
-  double m_lateAfter = 0.4;
-  double m_standbyAfter = 0.5; ///< of m_due; then hosts on standby try, too
+  /// Also the delay between announcing a reload and sending its order. All hosts receive the
+  /// announcement within three ticks. Waiting for the last of them would idle the engine, which
+  /// costs more than a few rejections that are reported within milliseconds: a delay of 350 ms
+  /// lowered the mean worth of days with a roll-out by 0.013.
+  base::Duration m_tickInterval = std::chrono::milliseconds(100);
+  /// A longer gap between ticks means that the process was suspended; the lease is then dropped.
+  base::Duration m_maxTickGap = std::chrono::milliseconds(700);
+  /// Upper limit of the random delay before a host tries to take the lease, so that hosts do not
+  /// compete for it.
+  base::Duration m_leaseJitter = std::chrono::milliseconds(300);
+  /// The same for leased duties. They are not urgent, and with a longer delay most hosts find them
+  /// done before they try.
+  base::Duration m_dutyLeaseJitter = std::chrono::milliseconds(3000);
+  /// Interval at which the lease topic is read while another host holds the lease.
+  base::Duration m_leasePollInterval = std::chrono::milliseconds(1500);
+  base::Duration m_readTimeout = std::chrono::milliseconds(1000);
+  /// Interval at which the state of an engine is queried while it loads weights.
+  base::Duration m_statePollInterval = std::chrono::milliseconds(150);
+  /// Initial estimate of the time that loading weights takes.
+  base::Duration m_expectedLoadTime = std::chrono::milliseconds(1200);
+  /// Share of a model's engines that may load weights at the same time. At both sites loads become
+  /// slower beyond about a sixth of the engines (3 of 18, 2 of 14). In trials 0.34 cost a quarter
+  /// of the worth of scenario quiet-1 through lost capacity.
+  double m_maxSwapShare = 0.17;
+  /// The same for a late roll-out, for example after the first lease holder died. Capacity then
+  /// matters less than finishing before requests may no longer start on older weights.
+  double m_lateMaxSwapShare = 0.23;
+  /// How long requests may start on older weights (from the settings).
+  base::Duration m_rolloutTimeLimit = std::chrono::seconds(12);
+  double m_lateFraction = 0.4;    ///< of m_rolloutTimeLimit; a roll-out that takes longer is late
+  double m_standbyFraction = 0.5; ///< of m_rolloutTimeLimit; then standby hosts try, too
 };
 
-/// @brief An engine that begins nothing until its load is over.
+/// @brief A planned load of weights, during which an engine starts no requests.
 struct PlannedReload
 {
   std::string m_incarnation;
   std::string m_model;
   fleet::WeightVersion m_version = 0;
-  base::TimePoint m_until;      ///< when the load should be over, or was
-  std::uint64_t m_revision = 0; ///< the higher one counts, also among hosts that order in turn
+  base::TimePoint m_expectedEnd; ///< expected or actual end of the load
+  std::uint64_t m_revision = 0;  ///< the highest one is valid, also across successive lease holders
 };
 
-/// @brief Brings engines to the weights that the operators named. One host at a time gives orders.
+/// @brief Rolls out the weight versions wanted by the operators. One host at a time sends orders.
 ///
-/// Level-triggered: it compares what the directory and the engines themselves say with what is
-/// wanted, so a new holder needs nothing from the one before.
+/// Level-triggered: it compares the state in the directory and the engines' reports with the wanted
+/// versions, so a new lease holder needs no state from the previous one.
 class RolloutDriver
 {
 public:
   RolloutDriver(net::Loop& aLoop,
                 store::RecordLog& aLog,
                 fleet::Directory& aDirectory,
-                OrderSink& aSink,
+                EngineClient& aEngineClient,
                 const std::map<std::string, fleet::WeightVersion>& aWanted,
                 RolloutOptions aOptions);
-  /// @brief Does this, too, while the lease is held. It must outlive the driver.
+  /// @brief Adds a duty to run while the lease is held. It must outlive the driver.
   void AddDuty(LeasedDuty& aDuty) { m_duties.push_back(&aDuty); }
-  /// @brief Calls with each reload when it is planned, and again when its end is known better.
+  /// @brief Sets the callback for each planned reload; called again when its expected end changes.
   void OnReload(std::function<void(const PlannedReload&)> aCall) { m_onReload = std::move(aCall); }
   void Start();
-  /// @brief Whether this host leaves the orders to others unless they take very long. With many
-  /// hosts, each one's looking at the lease is charged.
+  /// @brief Sets whether this host sends orders only if the other hosts are late. Every read of the
+  /// lease is charged, which adds up with many hosts.
   void SetStandby(bool aStandby);
-  /// @brief Another host was heard to announce a reload: somebody gives orders. While that goes on
-  /// this host does not look at the lease, which would be charged.
-  void NoteOthersOrder(base::TimePoint aNow) { m_othersOrderedAt = aNow; }
-  /// @brief Gives no orders any more.
+  /// @brief Records that another host announced a reload and therefore holds the lease. While such
+  /// announcements continue, this host does not read the lease, as every read is charged.
+  void NoteOrderByOtherHost(base::TimePoint aNow) { m_otherHostOrderedAt = aNow; }
+  /// @brief Stops sending orders and drops the lease.
   void Stop();
 
 private:
   struct Engine
   {
-    bool m_asking = false;
-    base::TimePoint m_askedAt{};
+    bool m_queryPending = false;
+    base::TimePoint m_lastQueryAt{};
     std::optional<EngineState> m_state;
-    bool m_announced = false; ///< its order is sent at the next tick
-    std::optional<base::TimePoint> m_loadsSince;
-    std::optional<base::TimePoint> m_loadsUntil; ///< as expected
-    fleet::WeightVersion m_loads = 0;            ///< what it loads since then
+    bool m_announced = false; ///< its order is due at the next tick
+    std::optional<base::TimePoint> m_loadStart;
+    std::optional<base::TimePoint> m_expectedLoadEnd;
+    fleet::WeightVersion m_loadingVersion = 0; ///< the version being loaded
   };
   struct Behind
   {
@@ -105,50 +109,53 @@
   };
 
   void Tick();
-  [[nodiscard]] bool EnginesBehind() const;
-  [[nodiscard]] bool OthersOrder(base::TimePoint aNow) const;
-  [[nodiscard]] bool DutiesPending(base::TimePoint aNow) const;
-  void KeepLease(base::TimePoint aNow);
+  [[nodiscard]] bool HasOutdatedEngines() const;
+  [[nodiscard]] bool IsOtherHostOrdering(base::TimePoint aNow) const;
+  [[nodiscard]] bool HasDutyWork(base::TimePoint aNow) const;
+  void MaintainLease(base::TimePoint aNow);
   void ReadLease();
   void AppendLease(base::TimePoint aNow);
-  void Drive(const std::string& aModel, fleet::WeightVersion aVersion, base::TimePoint aNow);
-  [[nodiscard]] std::uint32_t WidthFor(const std::string& aModel,
-                                       std::size_t aEngines,
-                                       base::TimePoint aNow);
-  /// Announces an order, which is sent at the next tick.
+  void PlanSwaps(const std::string& aModel, fleet::WeightVersion aVersion, base::TimePoint aNow);
+  [[nodiscard]] std::uint32_t MaxConcurrentSwaps(const std::string& aModel,
+                                                 std::size_t aEngines,
+                                                 base::TimePoint aNow);
+  /// Announces a reload; its order is sent at the next tick.
   void Announce(const control::SwapOrder& aOrder, const std::string& aModel, base::TimePoint aNow);
-  void OnOrdered(const std::string& aIncarnation, const WeightOrder& aOrder, OrderReply aReply);
-  void SendAnnounced(const std::string& aModel, fleet::WeightVersion aVersion);
-  [[nodiscard]] base::Duration OpenAfter() const;
-  void Tell(const std::string& aIncarnation, const std::string& aModel, base::TimePoint aUntil);
-  void NoteLoad(const std::string& aIncarnation, const std::string& aModel, base::TimePoint aNow);
-  void AskState(const std::string& aIncarnation, const std::string& aModel, base::TimePoint aNow);
-  void Order(const std::string& aIncarnation,
-             const std::string& aModel,
-             fleet::WeightVersion aVersion);
-  [[nodiscard]] control::WorkerVersion ViewOf(const fleet::Endpoint& aEngine,
-                                              const std::string& aModel) const;
+  void OnOrderReply(const std::string& aIncarnation, const WeightOrder& aOrder, OrderReply aReply);
+  void SendAnnouncedOrders(const std::string& aModel, fleet::WeightVersion aVersion);
+  [[nodiscard]] base::Duration RoutingResumeDelay() const;
+  void ReportReload(const std::string& aIncarnation,
+                    const std::string& aModel,
+                    base::TimePoint aExpectedEnd);
+  void TrackLoad(const std::string& aIncarnation, const std::string& aModel, base::TimePoint aNow);
+  void QueryState(const std::string& aIncarnation, const std::string& aModel, base::TimePoint aNow);
+  void SendOrder(const std::string& aIncarnation,
+                 const std::string& aModel,
+                 fleet::WeightVersion aVersion);
+  [[nodiscard]] control::WorkerVersion WorkerVersionOf(const fleet::Endpoint& aEngine,
+                                                       const std::string& aModel) const;
 
   net::Loop& m_loop;
   store::RecordLog& m_log;
   fleet::Directory& m_directory;
-  OrderSink& m_sink;
+  EngineClient& m_engineClient;
   const std::map<std::string, fleet::WeightVersion>& m_wanted;
   RolloutOptions m_options;
   control::OrderLease m_lease;
   std::map<std::string, control::SwapPlanner> m_planners; ///< by model
-  std::map<std::string, base::TimePoint> m_behindSince;   ///< by model; until all engines follow
-  std::map<std::string, Engine> m_engines;                ///< by incarnation
+  /// By model; cleared when no engine is outdated.
+  std::map<std::string, base::TimePoint> m_outdatedSince;
+  std::map<std::string, Engine> m_engines; ///< by incarnation
   std::vector<LeasedDuty*> m_duties;
   std::function<void(const PlannedReload&)> m_onReload;
-  base::Duration m_usualLoad; ///< learnt
+  base::Duration m_expectedLoadTime; ///< moving estimate
   std::uint64_t m_revision = 0;
   net::TimerHandle m_timer;
   base::TimePoint m_lastTick{};
-  std::optional<base::TimePoint> m_tryFrom;
-  std::optional<base::TimePoint> m_othersOrderedAt;
-  base::TimePoint m_readAt{};
-  bool m_reading = false;
+  std::optional<base::TimePoint> m_leaseAttemptAt;
+  std::optional<base::TimePoint> m_otherHostOrderedAt;
+  base::TimePoint m_lastLeaseReadAt{};
+  bool m_leaseReadPending = false;
   bool m_wasHolder = false;
   bool m_standby = false;
 };
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -86,7 +86,7 @@
     return m_news.IsAmongFirst(aName, aFirst);
   };
   m_news.SetOwnLoadsProvider([this] { return LocalLoads(); });
-  m_news.OnReloads([this] { m_rollout.NoteOthersOrder(base::MonotonicNow()); });
+  m_news.OnReloads([this] { m_rollout.NoteOrderByOtherHost(base::MonotonicNow()); });
   m_feeds.OnConfigured([this] {
     m_stores.OnConfiguration();
     if (!m_core.m_crashesLoaded && !m_quarantineLoadTimer) {
@@ -250,7 +250,7 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   const auto remaining =
-    std::chrono::duration_cast<std::chrono::milliseconds>(aReload.m_until - now).count();
+    std::chrono::duration_cast<std::chrono::milliseconds>(aReload.m_expectedEnd - now).count();
   m_core.m_reloads.OnNotice({ peers::TagOf(aReload.m_incarnation),
                               aReload.m_model,
                               aReload.m_version,
