--- a/include/ferrytray/limits/admission.hpp
+++ b/include/ferrytray/limits/admission.hpp
@@ -18,6 +18,6 @@
 
 /// @brief Refuses a request that cannot meet its deadline, with a time to retry after.
 /// @return DeadlineUnreachable with m_retryAfter, run state NotRun
-base::Result<void> CheckDeadline(const AdmissionEstimate& aView, base::TimePoint aNow);
+base::Result<void> CheckDeadline(const AdmissionEstimate& aEstimate, base::TimePoint aNow);
 
 } // namespace ferrytray::limits
--- a/include/ferrytray/limits/fair_queue.hpp
+++ b/include/ferrytray/limits/fair_queue.hpp
@@ -12,7 +12,7 @@
 namespace ferrytray::limits {
 
 /// @brief One waiting request.
-struct QueuedWork
+struct QueuedRequest
 {
   std::uint64_t m_id = 0;
   double m_cost = 1; ///< expected engine time (seconds)
@@ -32,9 +32,9 @@
 
   /// @brief Queues a request. @return false if the queue is full or already has the id
   /// @param aWeight the account's weight; must be positive
-  bool Push(const std::string& aAccount, double aWeight, const QueuedWork& aWork);
+  bool Push(const std::string& aAccount, double aWeight, const QueuedRequest& aRequest);
   /// @brief Removes and returns the request with the lowest virtual start time.
-  std::optional<QueuedWork> Pop();
+  std::optional<QueuedRequest> Pop();
   /// @brief Removes a cancelled request. @return false if it is not queued
   bool Remove(std::uint64_t aId);
   [[nodiscard]] std::size_t Size() const { return m_byStart.size(); }
@@ -46,7 +46,7 @@
   {
     std::string m_account;
     double m_start = 0;
-    QueuedWork m_work;
+    QueuedRequest m_request;
   };
   using Key = std::pair<double, std::uint64_t>;
 
--- a/src/ferrytray/limits/fair_queue.cpp
+++ b/src/ferrytray/limits/fair_queue.cpp
@@ -4,31 +4,31 @@
 
 namespace ferrytray::limits {
 
-bool FairQueue::Push(const std::string& aAccount, double aWeight, const QueuedWork& aWork)
+bool FairQueue::Push(const std::string& aAccount, double aWeight, const QueuedRequest& aRequest)
 {
-  if (m_byStart.size() >= m_capacity || m_byId.contains(aWork.m_id)) {
+  if (m_byStart.size() >= m_capacity || m_byId.contains(aRequest.m_id)) {
     return false;
   }
   double& lastFinish = m_lastFinish[aAccount];
   const double start = std::max(m_virtualTime, lastFinish);
-  lastFinish = start + aWork.m_cost / aWeight;
+  lastFinish = start + aRequest.m_cost / aWeight;
   const Key key{ start, ++m_sequence };
-  m_byStart.emplace(key, Entry{ aAccount, start, aWork });
-  m_byId.emplace(aWork.m_id, key);
-  m_queuedCost += aWork.m_cost;
+  m_byStart.emplace(key, Entry{ aAccount, start, aRequest });
+  m_byId.emplace(aRequest.m_id, key);
+  m_queuedCost += aRequest.m_cost;
   return true;
 }
 
-std::optional<QueuedWork> FairQueue::Pop()
+std::optional<QueuedRequest> FairQueue::Pop()
 {
   if (m_byStart.empty()) {
     return std::nullopt;
   }
   const auto first = m_byStart.begin();
   m_virtualTime = std::max(m_virtualTime, first->second.m_start);
-  const QueuedWork work = first->second.m_work;
+  const QueuedRequest request = first->second.m_request;
   Erase(first);
-  return work;
+  return request;
 }
 
 bool FairQueue::Remove(std::uint64_t aId)
@@ -43,8 +43,8 @@
 
 void FairQueue::Erase(std::map<Key, Entry>::iterator aEntry)
 {
-  m_queuedCost -= aEntry->second.m_work.m_cost;
-  m_byId.erase(aEntry->second.m_work.m_id);
+  m_queuedCost -= aEntry->second.m_request.m_cost;
+  m_byId.erase(aEntry->second.m_request.m_id);
   m_byStart.erase(aEntry);
   if (m_byStart.empty()) {
     // With an empty queue no account is owed service; clearing bounds the table of accounts.
--- a/src/ferrytray/limits/fair_queue_test.cpp
+++ b/src/ferrytray/limits/fair_queue_test.cpp
@@ -33,8 +33,8 @@
     queue.Push("lookups", 1, { id, 1.0 });
   }
   int lookupsBeforeSecondLong = 0;
-  for (auto work = queue.Pop(); work && work->m_id != 1; work = queue.Pop()) {
-    lookupsBeforeSecondLong += work->m_id >= 100 ? 1 : 0;
+  for (auto request = queue.Pop(); request && request->m_id != 1; request = queue.Pop()) {
+    lookupsBeforeSecondLong += request->m_id >= 100 ? 1 : 0;
   }
   LONGS_EQUAL(10, lookupsBeforeSecondLong);
 }
@@ -61,8 +61,8 @@
     double light = 0;
     double heavy = 0;
     for (int i = 0; i < 400; ++i) {
-      const auto work = queue.Pop();
-      (work->m_id >= 1000 ? heavy : light) += 1;
+      const auto request = queue.Pop();
+      (request->m_id >= 1000 ? heavy : light) += 1;
     }
     RC_ASSERT(heavy <= light * weight + weight);
     RC_ASSERT(heavy + weight >= (light - 1) * weight);
--- a/src/ferrytray/quarantine/crash_board_test.cpp
+++ b/src/ferrytray/quarantine/crash_board_test.cpp
@@ -31,7 +31,7 @@
   }
 
   /// Forwards all notices of one host to another.
-  static void PassOn(const CrashTracker& aFrom, CrashTracker& aTo)
+  static void ForwardNotices(const CrashTracker& aFrom, CrashTracker& aTo)
   {
     for (const CrashNotice& notice : aFrom.Notices().Since(0, 10'000)) {
       aTo.OnNotice(notice, kStart);
@@ -77,10 +77,10 @@
   BreakConnection(m_crashing, 1);
   second.OnConnectionBroken(m_crashing, 2, kStart, kStart);
   third.OnConnectionBroken(m_crashing, 3, kStart, kStart);
-  PassOn(third, second);
-  PassOn(second, m_tracker);
+  ForwardNotices(third, second);
+  ForwardNotices(second, m_tracker);
   CHECK(m_tracker.IsQuarantined(m_crashing));
-  PassOn(m_tracker, third);
+  ForwardNotices(m_tracker, third);
   CHECK(third.IsQuarantined(m_crashing));
 }
 
@@ -90,14 +90,14 @@
   for (EndpointKey endpoint = 1; endpoint <= 3; ++endpoint) {
     BreakConnection(m_good, endpoint);
   }
-  PassOn(m_tracker, other);
+  ForwardNotices(m_tracker, other);
   CHECK(other.IsQuarantined(m_good));
   other.OnCompleteAnswer(m_good);
   CHECK_FALSE(other.IsQuarantined(m_good));
-  PassOn(other, m_tracker);
+  ForwardNotices(other, m_tracker);
   CHECK_FALSE(m_tracker.IsQuarantined(m_good));
   // Notices that arrive late a second time are ignored.
-  PassOn(m_tracker, other);
+  ForwardNotices(m_tracker, other);
   CHECK_FALSE(other.Find(m_good).has_value());
 }
 
@@ -110,7 +110,7 @@
     BreakConnection(m_good, endpoint);
   }
   CHECK_FALSE(m_tracker.IsQuarantined(m_good));
-  PassOn(m_tracker, other); // a host that never served the request
+  ForwardNotices(m_tracker, other); // a host that never served the request
   CHECK_FALSE(other.IsQuarantined(m_good));
   BreakConnection(m_good, 6);
   CHECK(m_tracker.IsQuarantined(m_good));
@@ -156,11 +156,11 @@
   m_tracker.OnProbeStarted(m_good, kStart + 5s);
   CHECK(m_tracker.IsQuarantined(m_good));
   CHECK_FALSE(m_tracker.MayProbe(m_good, kStart + 1h));
-  PassOn(m_tracker, other);
+  ForwardNotices(m_tracker, other);
   CHECK_FALSE(other.MayProbe(m_good, kStart + 1h));
-  CrashTracker started;
-  started.OnRecord(m_good, *m_tracker.Find(m_good), kStart);
-  CHECK_FALSE(started.MayProbe(m_good, kStart + 1h));
+  CrashTracker restarted;
+  restarted.OnRecord(m_good, *m_tracker.Find(m_good), kStart);
+  CHECK_FALSE(restarted.MayProbe(m_good, kStart + 1h));
   m_tracker.OnCompleteAnswer(m_good);
   CHECK_FALSE(m_tracker.IsQuarantined(m_good));
 }
