--- a/src/ferrytray/quarantine/crash_board.cpp
+++ b/src/ferrytray/quarantine/crash_board.cpp
@@ -263,8 +263,8 @@
   for (const auto& [request, suspect] : m_suspects) {
     all.emplace_back(suspect.m_suspicion.m_crashedEndpoints.size(), suspect.m_lastCrashAt, request);
   }
-  constexpr std::size_t kEvictedFraction = 16;
-  const std::size_t dropped = 1 + all.size() / kEvictedFraction;
+  constexpr std::size_t kEvictionDivisor = 16;
+  const std::size_t dropped = 1 + all.size() / kEvictionDivisor;
   const auto last = all.begin() + static_cast<std::ptrdiff_t>(dropped - 1);
   std::nth_element(all.begin(), last, all.end());
   for (std::size_t i = 0; i < dropped; ++i) {
