--- a/examples/embed/embed.cpp
+++ b/examples/embed/embed.cpp
@@ -19,7 +19,7 @@
   const routing::StoreView store{ 100, {}, 1e9, std::chrono::milliseconds(2) };
   const std::vector<routing::WorkerView> workers{ busyButWarm, idleAndCold };
   const std::vector<routing::StoreView> stores{ store, store };
-  const auto choice = routing::Choose(request, workers, stores, {}, 1);
+  const auto choice = routing::ChooseWorker(request, workers, stores, {}, 1);
   if (!choice) {
     return 1;
   }
--- a/include/ferrytray/experiment/policy.hpp
+++ b/include/ferrytray/experiment/policy.hpp
@@ -43,7 +43,7 @@
 /// @brief Which contexts a store keeps when it is full.
 enum class KeepRule : std::uint8_t
 {
-  Index,       ///< routing::KeepValue
+  Index,       ///< routing::RetentionValue
   LeastRecent, ///< naive twin
 };
 
--- a/include/ferrytray/gate/context_log.hpp
+++ b/include/ferrytray/gate/context_log.hpp
@@ -7,8 +7,8 @@
 #include <string>        // for string
 #include <unordered_map> // for unordered_map
 
-#include "ferrytray/base/digest.hpp"  // for Digest128
-#include "ferrytray/routing/keep.hpp" // for ReturnGaps
+#include "ferrytray/base/digest.hpp"       // for Digest128
+#include "ferrytray/routing/retention.hpp" // for ReturnHistogram
 
 namespace ferrytray::gate {
 
@@ -26,7 +26,7 @@
   std::optional<base::Duration> OnRequest(const std::string& aAccount,
                                           const base::Digest128& aContext,
                                           base::TimePoint aNow);
-  [[nodiscard]] const routing::ReturnGaps& Gaps(const std::string& aAccount)
+  [[nodiscard]] const routing::ReturnHistogram& Gaps(const std::string& aAccount)
   {
     return m_gaps[aAccount];
   }
@@ -42,7 +42,7 @@
   std::size_t m_capacity;
   std::list<Seen> m_recent;
   std::unordered_map<base::Digest128, std::list<Seen>::iterator, base::DigestHash> m_byContext;
-  std::map<std::string, routing::ReturnGaps> m_gaps;
+  std::map<std::string, routing::ReturnHistogram> m_gaps;
 };
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/context_restore.hpp
+++ b/include/ferrytray/gate/context_restore.hpp
@@ -7,7 +7,7 @@
 
 #include "ferrytray/gate/gate_core.hpp"    // for GateCore
 #include "ferrytray/routing/candidate.hpp" // for StoreView
-#include "ferrytray/routing/keep.hpp"      // for StorePressure
+#include "ferrytray/routing/retention.hpp" // for StorePressure
 
 namespace ferrytray::gate {
 
--- a/include/ferrytray/relay/candidates.hpp
+++ b/include/ferrytray/relay/candidates.hpp
@@ -36,7 +36,7 @@
                                        const fleet::Service* aService,
                                        const std::optional<PromptNeeds>& aNeeds,
                                        const std::set<std::string>& aTried,
-                                       routing::ColdUse aCold,
+                                       routing::ColdTrafficSource aCold,
                                        const std::string& aAssigned,
                                        base::TimePoint aNow);
 
--- a/include/ferrytray/relay/cold_engines.hpp
+++ b/include/ferrytray/relay/cold_engines.hpp
@@ -17,13 +17,13 @@
 /// @brief Whether a request may be sent there now as far as its being cold goes.
 [[nodiscard]] bool MaySendCold(const RelayCore& aCore,
                                const fleet::Endpoint& aEndpoint,
-                               routing::ColdUse aUse,
+                               routing::ColdTrafficSource aUse,
                                base::TimePoint aNow);
 
 /// @brief A request is sent there, or was given out to it.
 void NoteColdSend(RelayCore& aCore,
                   const fleet::Endpoint& aEndpoint,
-                  routing::ColdUse aUse,
+                  routing::ColdTrafficSource aUse,
                   base::TimePoint aNow);
 
 /// @brief The endpoint was not reached, or nothing was sent to it for long: it may start anew, and
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -25,7 +25,7 @@
 #include "ferrytray/relay/prompt_placement.hpp"    // for PromptPlacement
 #include "ferrytray/relay/wire_format.hpp"         // for WireFormat
 #include "ferrytray/routing/cold_starts.hpp"       // for ColdStarts
-#include "ferrytray/routing/endpoint_board.hpp"    // for EndpointBoard
+#include "ferrytray/routing/endpoint_tracker.hpp"  // for EndpointTracker
 #include "ferrytray/store/unreadable_records.hpp"  // for UnreadableRecords
 #include "ferrytray/telemetry/metrics.hpp"         // for Metrics
 
@@ -93,7 +93,7 @@
   RelayOptions m_options;
   fleet::ConfigurationPtr m_configuration; ///< null until the first one is read
   fleet::Directory m_directory;
-  routing::EndpointBoard m_board;
+  routing::EndpointTracker m_board;
   routing::ColdStarts m_cold;
   /// Whether this host is among the first so many hosts by a hash of that name; false while the
   /// other hosts are unknown. Unset: never.
--- a/include/ferrytray/routing/cache_hints.hpp
+++ b/include/ferrytray/routing/cache_hints.hpp
@@ -25,25 +25,25 @@
 class CacheHints
 {
 public:
-  /// @param aBlocksPerWorker the most that is remembered of one worker
-  explicit CacheHints(std::size_t aBlocksPerWorker)
-    : m_blocksPerWorker(aBlocksPerWorker)
+  /// @param aMaxBlocksPerWorker the most that is remembered of one worker
+  explicit CacheHints(std::size_t aMaxBlocksPerWorker)
+    : m_maxBlocksPerWorker(aMaxBlocksPerWorker)
   {
   }
 
   /// @brief A run ended there, so its blocks are there now.
-  void OnRun(const std::string& aWorker, std::span<const base::Digest128> aBlocks);
+  void OnRunCompleted(const std::string& aWorker, std::span<const base::Digest128> aBlocks);
   /// @brief The engine said how many blocks it really had; the rest are forgotten.
-  void OnFound(const std::string& aWorker,
-               std::span<const base::Digest128> aBlocks,
-               std::uint32_t aFound);
+  void OnCachedPrefixReported(const std::string& aWorker,
+                              std::span<const base::Digest128> aBlocks,
+                              std::uint32_t aFound);
   /// @brief The engine's events since LastSequence().
-  /// @return false when events are missing: the worker's hints are unknown until OnList
+  /// @return false when events are missing: the worker's hints are unknown until OnSnapshot
   bool OnEvents(const std::string& aWorker, std::span<const CacheEvent> aEvents);
   /// @brief The whole cache, listed afresh.
-  void OnList(const std::string& aWorker,
-              std::uint64_t aSequence,
-              std::span<const base::Digest128> aBlocks);
+  void OnSnapshot(const std::string& aWorker,
+                  std::uint64_t aSequence,
+                  std::span<const base::Digest128> aBlocks);
   /// @brief The worker was replaced or has swapped its weights.
   void Forget(const std::string& aWorker) { m_workers.erase(aWorker); }
 
@@ -59,13 +59,13 @@
     std::unordered_map<base::Digest128, std::list<base::Digest128>::iterator, base::DigestHash>
       m_blocks;
     std::uint64_t m_sequence = 0;
-    bool m_unknown = false;
+    bool m_needsSnapshot = false;
   };
 
   void Add(Worker& aWorker, const base::Digest128& aBlock) const;
   static void Drop(Worker& aWorker, const base::Digest128& aBlock);
 
-  std::size_t m_blocksPerWorker;
+  std::size_t m_maxBlocksPerWorker;
   std::map<std::string, Worker> m_workers;
 };
 
--- a/include/ferrytray/routing/choose.hpp
+++ b/include/ferrytray/routing/choose.hpp
@@ -11,12 +11,13 @@
 struct ChooseOptions
 {
   CostWeights m_weights;
-  base::Duration m_trust = std::chrono::seconds(10); ///< age past which a load report says nothing
-  /// When reports are older than this, only m_sampled candidates are compared, so that gates
+  base::Duration m_maxReportAge =
+    std::chrono::seconds(10); ///< age past which a load report says nothing
+  /// When reports are older than this, only m_sampleSize candidates are compared, so that gates
   /// with the same stale report do not all pick the same worker.
-  base::Duration m_fresh = std::chrono::milliseconds(500);
-  std::size_t m_sampled = 3;
-  std::size_t m_homes = 2; ///< the first candidates are the context's homes and always compared
+  base::Duration m_freshReportAge = std::chrono::milliseconds(500);
+  std::size_t m_sampleSize = 3;
+  std::size_t m_homeCount = 2; ///< the first candidates are the context's homes and always compared
 };
 
 /// @brief The chosen candidate and its plan.
@@ -32,11 +33,11 @@
 /// @param aRandom random bits for sampling
 /// @param aPlans if not empty, gets each candidate's plan for the decision log (same size)
 /// @return empty when no candidate can be used
-std::optional<Choice> Choose(const RequestShape& aRequest,
-                             std::span<const WorkerView> aWorkers,
-                             std::span<const StoreView> aStores,
-                             const ChooseOptions& aOptions,
-                             std::uint64_t aRandom,
-                             std::span<std::optional<Plan>> aPlans = {});
+std::optional<Choice> ChooseWorker(const RequestShape& aRequest,
+                                   std::span<const WorkerView> aWorkers,
+                                   std::span<const StoreView> aStores,
+                                   const ChooseOptions& aOptions,
+                                   std::uint64_t aRandom,
+                                   std::span<std::optional<Plan>> aPlans = {});
 
 } // namespace ferrytray::routing
--- a/include/ferrytray/routing/endpoint_board.hpp
+++ b/include/ferrytray/routing/endpoint_tracker.hpp
@@ -10,21 +10,21 @@
 
 namespace ferrytray::routing {
 
-struct BoardOptions
+struct EndpointTrackerOptions
 {
-  base::Duration m_avoidFirst = std::chrono::milliseconds(500); ///< after it was not reached
-  base::Duration m_avoidMost = std::chrono::milliseconds(4000);
+  base::Duration m_initialBackoff = std::chrono::milliseconds(500); ///< after it was not reached
+  base::Duration m_maxBackoff = std::chrono::milliseconds(4000);
   /// Until an endpoint has told its own timeout.
   base::Duration m_maxIdle = std::chrono::milliseconds(4000);
   base::Duration m_idleMargin = std::chrono::milliseconds(1000); ///< kept from what it told
-  base::Duration m_avoidFull = std::chrono::milliseconds(150);   ///< after it refused as full
+  base::Duration m_fullBackoff = std::chrono::milliseconds(150); ///< after it refused as full
 };
 
 /// @brief What this host knows of each endpoint from its own requests.
-class EndpointBoard
+class EndpointTracker
 {
 public:
-  explicit EndpointBoard(BoardOptions aOptions = {})
+  explicit EndpointTracker(EndpointTrackerOptions aOptions = {})
     : m_options(aOptions)
   {
   }
@@ -41,7 +41,7 @@
 
   /// @brief Calls with each endpoint that has open requests, and their work.
   template<typename Call>
-  void ForEachOpen(const Call& aCall) const
+  void ForEachWithOpenRequests(const Call& aCall) const
   {
     for (const auto& [endpoint, entry] : m_entries) {
       if (entry.m_work > 0) {
@@ -49,27 +49,27 @@
       }
     }
   }
-  [[nodiscard]] Work OpenWork(const std::string& aEndpoint) const;
-  [[nodiscard]] std::uint32_t Open(const std::string& aEndpoint) const;
+  [[nodiscard]] Work WorkOfOpenRequests(const std::string& aEndpoint) const;
+  [[nodiscard]] std::uint32_t OpenRequests(const std::string& aEndpoint) const;
   /// @brief How long a connection to it may have been idle and still be used: what it closes at
   /// that very moment is lost for good if it may not be sent twice.
   [[nodiscard]] base::Duration MaxIdle(const std::string& aEndpoint) const;
-  [[nodiscard]] bool Avoided(const std::string& aEndpoint, base::TimePoint aNow) const;
+  [[nodiscard]] bool IsAvoided(const std::string& aEndpoint, base::TimePoint aNow) const;
   /// @brief Whether it has answered this host since then.
   [[nodiscard]] bool AnsweredSince(const std::string& aEndpoint, base::TimePoint aThen) const;
 
 private:
   struct Entry
   {
-    std::uint32_t m_open = 0;
-    Work m_work = 0;            ///< of the open ones
-    std::uint32_t m_misses = 0; ///< in a row
-    std::optional<base::TimePoint> m_avoidUntil;
+    std::uint32_t m_openRequests = 0;
+    Work m_work = 0;                         ///< of the open ones
+    std::uint32_t m_consecutiveFailures = 0; ///< in a row
+    std::optional<base::TimePoint> m_backoffUntil;
     std::optional<base::TimePoint> m_repliedAt;
     std::optional<base::Duration> m_idleTimeout;
   };
 
-  BoardOptions m_options;
+  EndpointTrackerOptions m_options;
   std::unordered_map<std::string, Entry> m_entries;
 };
 
--- a/include/ferrytray/routing/engine_memory.hpp
+++ b/include/ferrytray/routing/engine_memory.hpp
@@ -17,22 +17,22 @@
 {
   /// A prompt under this part of an engine's memory is short: sixteen and more fit at once, and it
   /// is read in some tens of milliseconds.
-  double m_shortPart = 1.0 / 16;
+  double m_maxShortPromptShare = 1.0 / 16;
   /// Long prompts begin at an engine while open requests hold less than this part of its memory.
   /// A prompt over it would wait for another one's whole answer, which takes longer than a caller
   /// wants to wait for its first token, and would push out what running ones hold. What other hosts
   /// sent meanwhile is not known yet, hence less than all of it. Tried 0.65, 0.8, 0.95.
-  double m_longFill = 0.8;
+  double m_maxFillForLong = 0.8;
   /// The same for short ones. Over 1, since other hosts' work is known late and they run ahead of
   /// long ones that wait.
-  double m_shortFill = 1.3;
+  double m_maxFillForShort = 1.3;
 };
 
 /// @param aPromptTokens of the whole prompt
 /// @param aMemoryTokens of one engine, for running requests and cached parts
-[[nodiscard]] PromptSize SizeOf(std::uint32_t aPromptTokens,
-                                std::uint64_t aMemoryTokens,
-                                const EngineMemoryOptions& aOptions = {});
+[[nodiscard]] PromptSize ClassifyPrompt(std::uint32_t aPromptTokens,
+                                        std::uint64_t aMemoryTokens,
+                                        const EngineMemoryOptions& aOptions = {});
 
 /// @brief Whether a prompt sent to an engine now is likely to begin in time. Pure.
 ///
--- a/include/ferrytray/routing/estimate.hpp
+++ b/include/ferrytray/routing/estimate.hpp
@@ -20,8 +20,8 @@
 /// @brief How long a worker's queue is now, by a report that lags.
 ///
 /// The queue in the report has been worked on since, and what this gate sent since is not in it.
-/// @param aTrust reports older than this say nothing; the queue is then what was sent since
-base::Duration QueueWait(const WorkerView& aWorker, base::Duration aTrust);
+/// @param aMaxReportAge reports older than this say nothing; the queue is then what was sent since
+base::Duration QueueWait(const WorkerView& aWorker, base::Duration aMaxReportAge);
 
 /// @brief The cheapest way for a worker to come by the context: recompute it, restore it, or
 /// restore a prefix and recompute the rest.
@@ -34,6 +34,6 @@
                                  const WorkerView& aWorker,
                                  const StoreView& aStore,
                                  const CostWeights& aWeights,
-                                 base::Duration aTrust);
+                                 base::Duration aMaxReportAge);
 
 } // namespace ferrytray::routing
--- a/include/ferrytray/routing/keep.hpp
+++ b/include/ferrytray/routing/retention.hpp
@@ -11,15 +11,15 @@
 namespace ferrytray::routing {
 
 /// @brief Learns how long an account's users stay away, as a histogram of return gaps.
-class ReturnGaps
+class ReturnHistogram
 {
 public:
   /// @brief A context came back after a gap.
   void OnReturn(base::Duration aGap);
   /// @brief A context was not seen again.
-  void OnGone() { m_gone = m_gone * kDecay + 1; }
+  void OnNotReturned() { m_notReturned = m_notReturned * kDecay + 1; }
   /// @brief The chance that a context idle for so long comes back within a horizon.
-  [[nodiscard]] double ReturnChance(base::Duration aIdle, base::Duration aHorizon) const;
+  [[nodiscard]] double ReturnProbability(base::Duration aIdle, base::Duration aHorizon) const;
   /// @brief The best returns for each second of keeping, over every span that it might be kept.
   ///
   /// An index policy: a context that returns after ten minutes is worth those ten minutes, one
@@ -34,11 +34,11 @@
   static std::size_t BucketOf(base::Duration aGap);
 
   std::array<double, kBuckets> m_returns{};
-  double m_gone = 0;
+  double m_notReturned = 0;
 };
 
 /// @brief What keeping a context would save.
-struct KeepCandidate
+struct RetentionCandidate
 {
   double m_bytes = 0;
   double m_recomputeSeconds = 0;
@@ -46,27 +46,27 @@
 };
 
 /// @brief The engine seconds that a byte of store saves a second: keep what has most.
-double KeepValue(const KeepCandidate& aContext, const ReturnGaps& aGaps);
+double RetentionValue(const RetentionCandidate& aContext, const ReturnHistogram& aReturns);
 
 /// @brief The state of a store when an export is considered.
 struct StorePressure
 {
   double m_freeBytes = 0;
-  double m_lowestValue = 0;       ///< KeepValue of what would be displaced
+  double m_lowestValue = 0;       ///< RetentionValue of what would be displaced
   base::Duration m_importQueue{}; ///< imports waiting on its link
 };
 
-struct KeepOptions
+struct RetentionOptions
 {
-  base::Duration m_yieldTo =
+  base::Duration m_maxImportQueue =
     std::chrono::milliseconds(200); ///< imports waiting longer stop exports
-  double m_leastValue = 0;          ///< what a byte must save a second at least
+  double m_minValue = 0;            ///< what a byte must save a second at least
 };
 
 /// @brief Whether a context should be exported now.
-bool ShouldExport(const KeepCandidate& aContext,
-                  const ReturnGaps& aGaps,
+bool ShouldExport(const RetentionCandidate& aContext,
+                  const ReturnHistogram& aReturns,
                   const StorePressure& aStore,
-                  const KeepOptions& aOptions);
+                  const RetentionOptions& aOptions);
 
 } // namespace ferrytray::routing
--- a/src/ferrytray/experiment/model.cpp
+++ b/src/ferrytray/experiment/model.cpp
@@ -4,7 +4,7 @@
 #include <map>       // for map
 
 #include "ferrytray/experiment/simulation.hpp" // for Simulation
-#include "ferrytray/routing/choose.hpp"        // for Choose
+#include "ferrytray/routing/choose.hpp"        // for ChooseWorker
 
 namespace ferrytray::experiment {
 
@@ -81,7 +81,7 @@
                                        aSim.Options().m_bytesPerBlock };
     routing::ChooseOptions options;
     options.m_weights = aWeights;
-    const auto choice = routing::Choose(shape, m_views, m_stores, options, aSim.Random());
+    const auto choice = routing::ChooseWorker(shape, m_views, m_stores, options, aSim.Random());
     if (!choice) {
       return { order.front(), 0 };
     }
--- a/src/ferrytray/experiment/queues.cpp
+++ b/src/ferrytray/experiment/queues.cpp
@@ -110,10 +110,10 @@
     return aKept.m_usedAt;
   }
   const double seconds = aKept.m_blocks * m_options.m_tokensPerBlock / m_options.m_tokensPerSecond;
-  const routing::KeepCandidate candidate{ aKept.m_blocks * m_options.m_bytesPerBlock,
-                                          seconds,
-                                          base::FromSeconds(aNow - aKept.m_usedAt) };
-  return routing::KeepValue(candidate, m_gaps[aKept.m_account]);
+  const routing::RetentionCandidate candidate{ aKept.m_blocks * m_options.m_bytesPerBlock,
+                                               seconds,
+                                               base::FromSeconds(aNow - aKept.m_usedAt) };
+  return routing::RetentionValue(candidate, m_gaps[aKept.m_account]);
 }
 
 std::unordered_map<std::uint32_t, StoreModel::Kept>::iterator StoreModel::Lowest(bool aOnDisk,
@@ -143,7 +143,7 @@
     return true;
   }
   const double seconds = aBlocks * m_options.m_tokensPerBlock / m_options.m_tokensPerSecond;
-  const routing::KeepCandidate candidate{ aBlocks * m_options.m_bytesPerBlock, seconds, {} };
+  const routing::RetentionCandidate candidate{ aBlocks * m_options.m_bytesPerBlock, seconds, {} };
   const routing::StorePressure pressure{ 1e18,
                                          0,
                                          base::FromSeconds(std::max(0.0, m_linkFree - aNow)) };
--- a/src/ferrytray/experiment/queues.hpp
+++ b/src/ferrytray/experiment/queues.hpp
@@ -9,8 +9,8 @@
 #include <unordered_map> // for unordered_map
 #include <vector>        // for vector
 
-#include "ferrytray/experiment/model.hpp" // for ModelOptions
-#include "ferrytray/routing/keep.hpp"     // for ReturnGaps
+#include "ferrytray/experiment/model.hpp"  // for ModelOptions
+#include "ferrytray/routing/retention.hpp" // for ReturnHistogram
 
 namespace ferrytray::experiment {
 
@@ -42,7 +42,7 @@
 class StoreModel
 {
 public:
-  StoreModel(const ModelOptions& aOptions, const std::vector<routing::ReturnGaps>& aGaps)
+  StoreModel(const ModelOptions& aOptions, const std::vector<routing::ReturnHistogram>& aGaps)
     : m_options(aOptions)
     , m_gaps(aGaps)
     , m_linkSpeed(aOptions.m_linkBytesPerSecond)
@@ -95,7 +95,7 @@
   std::unordered_map<std::uint32_t, Kept>::iterator Lowest(bool aOnDisk, double aNow);
 
   ModelOptions m_options;
-  const std::vector<routing::ReturnGaps>& m_gaps;
+  const std::vector<routing::ReturnHistogram>& m_gaps;
   std::unordered_map<std::uint32_t, Kept> m_kept;
   std::uint32_t m_memoryBlocks = 0;
   std::uint32_t m_diskBlocks = 0;
--- a/src/ferrytray/experiment/simulation.hpp
+++ b/src/ferrytray/experiment/simulation.hpp
@@ -104,7 +104,7 @@
     view.m_cachedBlocks = m_workers[aWorker].m_cache.Blocks(aArrival.m_context);
     for (const OwnSend& send : m_sends[m_gate][aWorker]) {
       if (send.m_at > report.m_at) {
-        view.m_sentSince += base::FromSeconds(send.m_seconds);
+        view.m_sentSinceReport += base::FromSeconds(send.m_seconds);
       }
     }
     return view;
@@ -218,7 +218,7 @@
       const Remembered old = m_order.front();
       m_order.pop_front();
       if (m_lastSeen.at(old.m_context) == old.m_at) {
-        m_gaps[old.m_account].OnGone();
+        m_gaps[old.m_account].OnNotReturned();
       }
     }
   }
@@ -354,7 +354,7 @@
   const std::vector<Arrival>& m_trace;
   ModelOptions m_options;
   std::mt19937_64 m_random;
-  std::vector<routing::ReturnGaps> m_gaps;
+  std::vector<routing::ReturnHistogram> m_gaps;
   std::vector<WorkerModel> m_workers;
   std::vector<StoreModel> m_stores;
   std::vector<std::vector<std::deque<OwnSend>>> m_sends;
--- a/src/ferrytray/gate/cache_watch.cpp
+++ b/src/ferrytray/gate/cache_watch.cpp
@@ -94,7 +94,7 @@
         return;
       }
       const auto sequence = reply.value("sequence", std::uint64_t{ 0 });
-      m_core.m_view.Hints().OnList(aWorker, sequence, ReadBlocks(reply));
+      m_core.m_view.Hints().OnSnapshot(aWorker, sequence, ReadBlocks(reply));
     });
 }
 
--- a/src/ferrytray/gate/context_log.cpp
+++ b/src/ferrytray/gate/context_log.cpp
@@ -17,7 +17,7 @@
   m_recent.push_front({ aContext, aAccount, aNow });
   m_byContext.emplace(aContext, m_recent.begin());
   if (m_recent.size() > m_capacity) {
-    m_gaps[m_recent.back().m_account].OnGone();
+    m_gaps[m_recent.back().m_account].OnNotReturned();
     m_byContext.erase(m_recent.back().m_context);
     m_recent.pop_back();
   }
--- a/src/ferrytray/gate/context_restore.cpp
+++ b/src/ferrytray/gate/context_restore.cpp
@@ -56,7 +56,7 @@
     found.m_view.m_linkQueue =
       base::FromSeconds(reply.at("link_queue_ms").get<double>() / kMillisPerSecond);
     found.m_view.m_bytesPerSecond = std::max(1.0, reply.at("bytes_per_second").get<double>());
-    found.m_view.m_path = kImportRoundTrips;
+    found.m_view.m_roundTrip = kImportRoundTrips;
     found.m_pressure.m_freeBytes = reply.at("free_bytes").get<double>();
     found.m_pressure.m_lowestValue = reply.at("lowest_worth").get<double>();
     found.m_pressure.m_importQueue = found.m_view.m_linkQueue;
--- a/src/ferrytray/gate/exporter.cpp
+++ b/src/ferrytray/gate/exporter.cpp
@@ -36,12 +36,12 @@
   if (aJob.m_store.m_address.empty() || aJob.m_blocks.empty() || stored) {
     return;
   }
-  const routing::ReturnGaps& gaps = m_core.m_contexts.Gaps(aJob.m_account);
-  const routing::KeepCandidate context{ aJob.m_bytes,
-                                        aJob.m_recomputeSeconds,
-                                        base::Duration::zero() };
+  const routing::ReturnHistogram& gaps = m_core.m_contexts.Gaps(aJob.m_account);
+  const routing::RetentionCandidate context{ aJob.m_bytes,
+                                             aJob.m_recomputeSeconds,
+                                             base::Duration::zero() };
   const bool keep = routing::ShouldExport(context, gaps, aJob.m_store.m_pressure, {});
-  const double worth = routing::KeepValue(context, gaps);
+  const double worth = routing::RetentionValue(context, gaps);
   telemetry::LogLine("keep")
     .Add("request", aJob.m_request)
     .Add("store", aJob.m_store.m_store)
@@ -91,7 +91,7 @@
   aJob.m_moved = std::max<std::size_t>(aJob.m_moved, aFound.m_view.m_storedBlocks);
   if (aJob.m_moved >= aJob.m_job.m_blocks.size()) {
     Finish(std::move(aJob), true);
-  } else if (aFound.m_pressure.m_importQueue > routing::KeepOptions{}.m_yieldTo) {
+  } else if (aFound.m_pressure.m_importQueue > routing::RetentionOptions{}.m_maxImportQueue) {
     WaitForLink(aJob);
   } else {
     MoveChunk(aJob);
--- a/src/ferrytray/gate/fleet_view.cpp
+++ b/src/ferrytray/gate/fleet_view.cpp
@@ -124,14 +124,14 @@
   view.m_reportedWait = std::chrono::milliseconds(aEndpoint.m_load.m_queuedMillis);
   view.m_tokensPerSecond =
     aEndpoint.m_load.m_tokensPerSecond > 0 ? aEndpoint.m_load.m_tokensPerSecond : kUnknownSpeed;
-  view.m_path = aEndpoint.m_host.m_zone == m_zone ? kZonePath : kOtherZonePath;
+  view.m_roundTrip = aEndpoint.m_host.m_zone == m_zone ? kZonePath : kOtherZonePath;
   view.m_usable = Usable(aEndpoint, aNow);
   const base::TimePoint reportedAt = aNow - view.m_reportAge;
   const auto sent = m_sent.find(aEndpoint.m_host.m_name);
   if (sent != m_sent.end()) {
     for (const Sent& work : sent->second) {
       if (work.m_at > reportedAt) {
-        view.m_sentSince += work.m_engineTime;
+        view.m_sentSinceReport += work.m_engineTime;
       }
     }
   }
@@ -139,7 +139,7 @@
   if (answered != m_answered.end()) {
     for (const Answered& work : answered->second) {
       if (work.m_sentAt <= reportedAt && work.m_at > reportedAt) {
-        view.m_answeredSince += work.m_engineTime;
+        view.m_completedSinceReport += work.m_engineTime;
       }
     }
   }
--- a/src/ferrytray/gate/model_exchange.cpp
+++ b/src/ferrytray/gate/model_exchange.cpp
@@ -158,9 +158,9 @@
   options.m_weights = {
     weights.m_firstToken, weights.m_recompute, weights.m_link, weights.m_target
   };
-  options.m_trust = m_core.m_options.m_loadTrust;
+  options.m_maxReportAge = m_core.m_options.m_loadTrust;
   const std::uint64_t random = base::Hash64(m_call.m_request, std::to_string(m_attempts));
-  const auto choice = routing::Choose(Shape(), workers, stores, options, random, plans);
+  const auto choice = routing::ChooseWorker(Shape(), workers, stores, options, random, plans);
   if (!choice) {
     Record(candidates, plans, "");
     Fail(ErrorCode::NoEndpoint,
--- a/src/ferrytray/gate/model_exchange_end.cpp
+++ b/src/ferrytray/gate/model_exchange_end.cpp
@@ -40,9 +40,9 @@
   }
   const std::uint32_t found = aUsage.m_cached / m_call.m_fleet.m_blockTokens;
   if (found < m_workerCached) {
-    m_core.m_view.Hints().OnFound(m_worker, m_blocks, found);
+    m_core.m_view.Hints().OnCachedPrefixReported(m_worker, m_blocks, found);
   }
-  m_core.m_view.Hints().OnRun(m_worker, m_blocks);
+  m_core.m_view.Hints().OnRunCompleted(m_worker, m_blocks);
   const routing::RequestShape shape = Shape();
   const double newBlocks = static_cast<double>(
     m_blocks.size() - std::min<std::size_t>(m_blocks.size(), m_store.m_view.m_storedBlocks));
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -3,7 +3,7 @@
 #include <vector> // for vector
 
 #include "ferrytray/relay/candidates.hpp"      // for CandidatesFor
-#include "ferrytray/routing/engine_memory.hpp" // for SizeOf
+#include "ferrytray/routing/engine_memory.hpp" // for ClassifyPrompt
 
 namespace ferrytray::relay {
 
@@ -38,13 +38,13 @@
                                               service,
                                               needs,
                                               aTried,
-                                              routing::ColdUse::Own,
+                                              routing::ColdTrafficSource::Own,
                                               aAssigned.m_engine,
                                               base::MonotonicNow());
   const std::vector<const fleet::Endpoint*>& endpoints = candidates.m_endpoints;
   const std::vector<routing::PlacementCandidate>& places = candidates.m_places;
   if (!m_request.m_prompt) {
-    const auto chosen = routing::PlaceAnywhere(places, m_core.m_random());
+    const auto chosen = routing::PlaceByTwoChoices(places, m_core.m_random());
     return chosen ? Target{ endpoints[*chosen], "", places[*chosen].m_work, false } : Target{};
   }
   for (std::size_t i = 0; i < places.size(); ++i) {
@@ -68,8 +68,8 @@
 {
   const fleet::Service* service = m_admitted.m_configuration->FindService(aService);
   return m_request.m_prompt && service != nullptr && service->m_engine &&
-         routing::SizeOf(m_request.m_prompt->m_inputTokens, service->m_engine->m_kvTokens) ==
-           routing::PromptSize::Long;
+         routing::ClassifyPrompt(m_request.m_prompt->m_inputTokens,
+                                 service->m_engine->m_kvTokens) == routing::PromptSize::Long;
 }
 
 std::uint32_t CallPlanner::RankOf(const std::string& aService) const
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -4,7 +4,7 @@
 
 #include "ferrytray/peers/replaced_board.hpp"  // for KeyOf
 #include "ferrytray/relay/cold_engines.hpp"    // for MaySendCold
-#include "ferrytray/routing/engine_memory.hpp" // for HasRoom, SizeOf
+#include "ferrytray/routing/engine_memory.hpp" // for ClassifyPrompt, HasRoom
 
 namespace ferrytray::relay {
 
@@ -48,7 +48,7 @@
     return false;
   }
   const std::uint64_t memory = aService->m_engine->m_kvTokens;
-  return !routing::HasRoom(routing::SizeOf(aNeeds.m_tokens, memory), aOpen, memory);
+  return !routing::HasRoom(routing::ClassifyPrompt(aNeeds.m_tokens, memory), aOpen, memory);
 }
 
 } // namespace
@@ -58,7 +58,7 @@
                          const fleet::Service* aService,
                          const std::optional<PromptNeeds>& aNeeds,
                          const std::set<std::string>& aTried,
-                         routing::ColdUse aCold,
+                         routing::ColdTrafficSource aCold,
                          const std::string& aAssigned,
                          base::TimePoint aNow)
 {
@@ -71,17 +71,18 @@
   for (const fleet::Endpoint* endpoint : aCore.m_directory.Usable(aServiceName)) {
     const std::string& name = endpoint->m_incarnation;
     const bool tooOld = aNeeds && IsTooOld(aCore, *endpoint, *aNeeds, aNow);
-    if (aTried.contains(name) || aCore.m_board.Open(name) >= most || tooOld) {
+    if (aTried.contains(name) || aCore.m_board.OpenRequests(name) >= most || tooOld) {
       continue;
     }
     if (name != aAssigned && !MaySendCold(aCore, *endpoint, aCold, aNow)) {
       continue;
     }
     const peers::EndpointTag tag = peers::TagOf(name);
-    const routing::Work work = aCore.m_board.OpenWork(name) + aCore.m_otherLoads.Others(tag);
+    const routing::Work work =
+      aCore.m_board.WorkOfOpenRequests(name) + aCore.m_otherLoads.Others(tag);
     const bool reloading = aNeeds && aCore.m_reloads.IsReloading(tag, aNow);
     const bool avoided =
-      reloading || aCore.m_board.Avoided(name, aNow) || IsDown(aCore, name, aNow);
+      reloading || aCore.m_board.IsAvoided(name, aNow) || IsDown(aCore, name, aNow);
     candidates.m_endpoints.push_back(endpoint);
     candidates.m_places.push_back(
       { name, work, avoided, aNeeds && IsFull(aService, *aNeeds, work) });
--- a/src/ferrytray/relay/cold_engines.cpp
+++ b/src/ferrytray/relay/cold_engines.cpp
@@ -21,7 +21,7 @@
 
 bool MaySendCold(const RelayCore& aCore,
                  const fleet::Endpoint& aEndpoint,
-                 routing::ColdUse aUse,
+                 routing::ColdTrafficSource aUse,
                  base::TimePoint aNow)
 {
   const std::string& name = aEndpoint.m_incarnation;
@@ -31,13 +31,13 @@
   if (!aCore.m_cold.MaySend(name, aUse, aNow)) {
     return false;
   }
-  return aUse == routing::ColdUse::Assigned ||
-         (aCore.m_isAmongHosts && aCore.m_isAmongHosts(name, aCore.m_cold.Hosts()));
+  return aUse == routing::ColdTrafficSource::Assigned ||
+         (aCore.m_isAmongHosts && aCore.m_isAmongHosts(name, aCore.m_cold.SendersPerEngine()));
 }
 
 void NoteColdSend(RelayCore& aCore,
                   const fleet::Endpoint& aEndpoint,
-                  routing::ColdUse aUse,
+                  routing::ColdTrafficSource aUse,
                   base::TimePoint aNow)
 {
   const fleet::ColdTraits* traits = ColdTraitsOf(aCore, aEndpoint.m_service);
@@ -49,7 +49,7 @@
 void SuspectColdStart(RelayCore& aCore, const fleet::Endpoint& aEndpoint, base::TimePoint aNow)
 {
   if (const fleet::ColdTraits* traits = ColdTraitsOf(aCore, aEndpoint.m_service)) {
-    aCore.m_cold.OnSuspected(aEndpoint.m_incarnation, traits->m_for, aNow);
+    aCore.m_cold.OnRestartSuspected(aEndpoint.m_incarnation, traits->m_for, aNow);
   }
 }
 
--- a/src/ferrytray/relay/cold_engines_test.cpp
+++ b/src/ferrytray/relay/cold_engines_test.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 using net::WireEnd;
 using routing::ColdStarts;
-using routing::ColdUse;
+using routing::ColdTrafficSource;
 
 namespace {
 
@@ -60,9 +60,9 @@
       // Two hosts that both think they give out the long prompts, each pressing.
       for (ColdStarts& giver : m_givers) {
         if (at == base::Duration::zero()) {
-          giver.OnTold("e", kColdFor + 10s, false, kNow);
+          giver.OnColdTimeReported("e", kColdFor + 10s, false, kNow);
         }
-        Press(giver, ColdUse::Assigned, at);
+        Press(giver, ColdTrafficSource::Assigned, at);
       }
     }
     return MostInASecond();
@@ -95,7 +95,7 @@
   {
     return std::uniform_real_distribution<double>(aLeast, aMost)(m_random);
   }
-  void Press(ColdStarts& aCold, ColdUse aUse, base::Duration aAt)
+  void Press(ColdStarts& aCold, ColdTrafficSource aUse, base::Duration aAt)
   {
     if (aCold.MaySend("e", aUse, kNow + aAt)) {
       aCold.OnSent("e", aUse, kBearable, kNow + aAt);
@@ -118,11 +118,11 @@
     }
     if (!aHost.m_heard) {
       aHost.m_heard = true;
-      aHost.m_cold.OnTold("e", kColdFor + 10s, false, kNow + aAt);
-      aHost.m_isAmong = aHost.m_roster.IsAmong("e", aHost.m_cold.Hosts());
+      aHost.m_cold.OnColdTimeReported("e", kColdFor + 10s, false, kNow + aAt);
+      aHost.m_isAmong = aHost.m_roster.IsAmong("e", aHost.m_cold.SendersPerEngine());
     }
     if (aHost.m_isAmong) {
-      Press(aHost.m_cold, ColdUse::Own, aAt);
+      Press(aHost.m_cold, ColdTrafficSource::Own, aAt);
     }
   }
   std::size_t MostInASecond()
@@ -187,8 +187,8 @@
 
 TEST(ColdEngines, WithoutTraitsNothingIsBounded)
 {
-  m_core.m_cold.OnTold("a", 10s, true, base::MonotonicNow());
-  CHECK(relay::MaySendCold(m_core, Engine("a"), ColdUse::Own, base::MonotonicNow()));
+  m_core.m_cold.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
+  CHECK(relay::MaySendCold(m_core, Engine("a"), ColdTrafficSource::Own, base::MonotonicNow()));
   relay::SuspectColdStart(m_core, Engine("b"), base::MonotonicNow());
   CHECK_FALSE(m_core.m_cold.IsCold("b", base::MonotonicNow()));
 }
@@ -196,12 +196,12 @@
 TEST(ColdEngines, AHostThatIsNotAmongTheFewSendsElsewhere)
 {
   Declare(kBearable);
-  m_core.m_cold.OnTold("a", 10s, true, base::MonotonicNow());
+  m_core.m_cold.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
   for (int i = 0; i < 5; ++i) {
     Ask("/stream/x", "k", "m");
     STRCMP_EQUAL("b", Sent("to").c_str());
   }
-  m_core.m_cold.OnTold("b", 10s, true, base::MonotonicNow());
+  m_core.m_cold.OnColdTimeReported("b", 10s, true, base::MonotonicNow());
   const auto refused = Ask("/stream/x", "k", "m");
   LONGS_EQUAL(503, refused->m_status);
   STRCMP_EQUAL("not_run", refused->Header("run").c_str());
@@ -211,8 +211,8 @@
 {
   Declare(kBearable);
   m_core.m_isAmongHosts = [](const std::string& aName, std::size_t) { return aName == "a"; };
-  m_core.m_cold.OnTold("a", 10s, true, base::MonotonicNow());
-  m_core.m_cold.OnTold("b", 10s, true, base::MonotonicNow());
+  m_core.m_cold.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
+  m_core.m_cold.OnColdTimeReported("b", 10s, true, base::MonotonicNow());
   const std::size_t before = m_client.m_calls.size();
   LONGS_EQUAL(0, Ask("/stream/x", "k", "m")->m_status);
   STRCMP_EQUAL("a", Sent("to").c_str());
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -149,7 +149,7 @@
   ++m_sends;
   m_core.m_board.OnSent(endpoint->m_incarnation, m_work);
   if (endpoint->m_incarnation != m_assigned.m_engine) {
-    NoteColdSend(m_core, *endpoint, routing::ColdUse::Own, m_attempt->m_sentAt);
+    NoteColdSend(m_core, *endpoint, routing::ColdTrafficSource::Own, m_attempt->m_sentAt);
   }
   const std::weak_ptr<Exchange> weak = weak_from_this();
   net::ClientEvents events;
--- a/src/ferrytray/relay/exchange_test.cpp
+++ b/src/ferrytray/relay/exchange_test.cpp
@@ -135,7 +135,7 @@
   const auto onClosed = reply->m_onClosed;
   onClosed();
   CHECK(m_client.m_calls[0].m_cancelled);
-  LONGS_EQUAL(0, m_core.m_board.Open("a") + m_core.m_board.Open("b"));
+  LONGS_EQUAL(0, m_core.m_board.OpenRequests("a") + m_core.m_board.OpenRequests("b"));
 }
 
 TEST(Exchange, AnUnknownKeyOrPathIsDeniedOnlyByAConfigurationThatIsUpToDate)
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -10,7 +10,7 @@
 #include "ferrytray/base/digest.hpp"           // for HashWithSeed
 #include "ferrytray/relay/candidates.hpp"      // for CandidatesFor
 #include "ferrytray/relay/cold_engines.hpp"    // for NoteColdSend
-#include "ferrytray/routing/engine_memory.hpp" // for HasRoom, SizeOf
+#include "ferrytray/routing/engine_memory.hpp" // for ClassifyPrompt, HasRoom
 #include "ferrytray/routing/rendezvous.hpp"    // for RendezvousHomes
 
 namespace ferrytray::relay {
@@ -80,7 +80,7 @@
   }
   const base::TimePoint now = base::MonotonicNow();
   if (aRequest.m_seenTokens > 0) {
-    m_queues.OnRead(aRequest.m_seenTokens, std::chrono::milliseconds(aRequest.m_seenMillis));
+    m_queues.OnPrefilled(aRequest.m_seenTokens, std::chrono::milliseconds(aRequest.m_seenMillis));
   }
   m_unreachable.OnReport(aRequest.m_host, aRequest.m_unreachable, now);
   const std::set<peers::EndpointTag> refused(aRequest.m_unreachable.begin(),
@@ -90,8 +90,8 @@
     service == nullptr || !service->m_engine ? 0 : service->m_engine->m_kvTokens;
   const PromptNeeds needs{ aRequest.m_model, aRequest.m_tokens };
   const Candidates candidates = CandidatesFor(
-    m_core, aRequest.m_service, service, needs, {}, routing::ColdUse::Assigned, "", now);
-  const routing::PromptSize size = routing::SizeOf(aRequest.m_tokens, memory);
+    m_core, aRequest.m_service, service, needs, {}, routing::ColdTrafficSource::Assigned, "", now);
+  const routing::PromptSize size = routing::ClassifyPrompt(aRequest.m_tokens, memory);
   bool someFull = false;
   std::vector<routing::PrefillEngine> engines;
   for (std::size_t i = 0; i < candidates.m_places.size(); ++i) {
@@ -100,7 +100,7 @@
       aRequest.m_zone.empty() || candidates.m_endpoints[i]->m_zone == aRequest.m_zone;
     const peers::EndpointTag tag = peers::TagOf(place.m_name);
     const bool reachable = !refused.contains(tag) && !m_unreachable.IsUnreachable(tag, now);
-    const std::uint64_t given = m_queues.GivenTokens(place.m_name, now);
+    const std::uint64_t given = m_queues.UnreportedTokens(place.m_name, now);
     const routing::Work work = place.m_work + routing::WorkOf(static_cast<std::uint32_t>(given));
     const bool usable = inZone && reachable && !place.m_avoided;
     const bool full = usable && memory > 0 && !routing::HasRoom(size, work, memory);
@@ -114,12 +114,12 @@
   const routing::PrefillJob job{
     aRequest.m_key, untold, aRequest.m_readTokens, aRequest.m_ownTokens
   };
-  const auto choice = m_queues.Give(job, engines, now);
+  const auto choice = m_queues.Assign(job, engines, now);
   if (!choice) {
     return { "", "", false, someFull && aRequest.m_zone.empty() };
   }
   const std::string& chosen = engines[choice->m_engine].m_name;
-  NoteColdSend(m_core, *m_core.m_directory.Find(chosen), routing::ColdUse::Assigned, now);
+  NoteColdSend(m_core, *m_core.m_directory.Find(chosen), routing::ColdTrafficSource::Assigned, now);
   return { chosen, choice->m_holder, choice->m_free, false };
 }
 
@@ -135,7 +135,7 @@
 {
   std::vector<peers::EndpointTag> unreachable;
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(aService)) {
-    if (m_core.m_board.Avoided(endpoint->m_incarnation, aNow)) {
+    if (m_core.m_board.IsAvoided(endpoint->m_incarnation, aNow)) {
       unreachable.push_back(peers::TagOf(endpoint->m_incarnation));
     }
   }
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -222,7 +222,7 @@
   }
   for (const fleet::Endpoint* endpoint : m_core.m_directory.All()) {
     if (const auto zone = open.find(endpoint->m_zone); zone != open.end()) {
-      zone->second += m_core.m_board.Open(endpoint->m_incarnation);
+      zone->second += m_core.m_board.OpenRequests(endpoint->m_incarnation);
     }
   }
   for (const auto& [zone, requests] : open) {
@@ -233,7 +233,7 @@
 peers::EndpointLoads RelayHost::OwnLoads() const
 {
   peers::EndpointLoads loads;
-  m_core.m_board.ForEachOpen([&](const std::string& aEndpoint, routing::Work aWork) {
+  m_core.m_board.ForEachWithOpenRequests([&](const std::string& aEndpoint, routing::Work aWork) {
     loads.push_back({ peers::TagOf(aEndpoint), static_cast<std::uint16_t>(aWork) });
   });
   return loads;
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -267,7 +267,7 @@
   }
   const fleet::Endpoint* before = m_core.m_directory.FindById(aRecord.m_key);
   if (ColdTraitsOf(m_core, read->m_service) != nullptr) {
-    m_core.m_cold.OnTold(read->m_incarnation, read->m_coldFor, before == nullptr, now);
+    m_core.m_cold.OnColdTimeReported(read->m_incarnation, read->m_coldFor, before == nullptr, now);
   }
   const std::string former = before == nullptr ? "" : before->m_incarnation;
   m_core.m_directory.Upsert(std::move(*read), now);
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -142,9 +142,9 @@
   Read();
   const std::string former = fleet::IncarnationOf("e", 1);
   m_core.m_board.OnSent(former, 3);
-  m_core.m_cold.OnTold(former, 10s, true, base::MonotonicNow());
+  m_core.m_cold.OnColdTimeReported(former, 10s, true, base::MonotonicNow());
   Hear("endpoints", { { 1, "e", "2 z1", false } });
-  LONGS_EQUAL(0, m_core.m_board.OpenWork(former));
+  LONGS_EQUAL(0, m_core.m_board.WorkOfOpenRequests(former));
   CHECK_FALSE(m_core.m_cold.IsCold(former, base::MonotonicNow()));
   POINTERS_EQUAL(nullptr, m_core.m_directory.Find(former));
   CHECK(m_core.m_directory.FindById("e") != nullptr);
--- a/src/ferrytray/routing/cache_hints.cpp
+++ b/src/ferrytray/routing/cache_hints.cpp
@@ -2,7 +2,8 @@
 
 namespace ferrytray::routing {
 
-void CacheHints::OnRun(const std::string& aWorker, std::span<const base::Digest128> aBlocks)
+void CacheHints::OnRunCompleted(const std::string& aWorker,
+                                std::span<const base::Digest128> aBlocks)
 {
   Worker& worker = m_workers[aWorker];
   for (const base::Digest128& block : aBlocks) {
@@ -10,9 +11,9 @@
   }
 }
 
-void CacheHints::OnFound(const std::string& aWorker,
-                         std::span<const base::Digest128> aBlocks,
-                         std::uint32_t aFound)
+void CacheHints::OnCachedPrefixReported(const std::string& aWorker,
+                                        std::span<const base::Digest128> aBlocks,
+                                        std::uint32_t aFound)
 {
   Worker& worker = m_workers[aWorker];
   for (std::size_t i = aFound; i < aBlocks.size(); ++i) {
@@ -28,7 +29,7 @@
       continue;
     }
     if (event.m_sequence != worker.m_sequence + 1) {
-      worker.m_unknown = true;
+      worker.m_needsSnapshot = true;
       return false;
     }
     worker.m_sequence = event.m_sequence;
@@ -38,27 +39,27 @@
       Drop(worker, event.m_block);
     }
   }
-  return !worker.m_unknown;
+  return !worker.m_needsSnapshot;
 }
 
-void CacheHints::OnList(const std::string& aWorker,
-                        std::uint64_t aSequence,
-                        std::span<const base::Digest128> aBlocks)
+void CacheHints::OnSnapshot(const std::string& aWorker,
+                            std::uint64_t aSequence,
+                            std::span<const base::Digest128> aBlocks)
 {
-  Worker fresh;
-  fresh.m_sequence = aSequence;
+  Worker snapshot;
+  snapshot.m_sequence = aSequence;
   // Listed most recent first; added in reverse so that the order of use is kept.
   for (auto block = aBlocks.rbegin(); block != aBlocks.rend(); ++block) {
-    Add(fresh, *block);
+    Add(snapshot, *block);
   }
-  m_workers[aWorker] = std::move(fresh);
+  m_workers[aWorker] = std::move(snapshot);
 }
 
 std::uint32_t CacheHints::CachedPrefix(const std::string& aWorker,
                                        std::span<const base::Digest128> aBlocks) const
 {
   const auto found = m_workers.find(aWorker);
-  if (found == m_workers.end() || found->second.m_unknown) {
+  if (found == m_workers.end() || found->second.m_needsSnapshot) {
     return 0;
   }
   std::uint32_t count = 0;
@@ -83,7 +84,7 @@
   }
   aWorker.m_recent.push_front(aBlock);
   aWorker.m_blocks.emplace(aBlock, aWorker.m_recent.begin());
-  if (aWorker.m_blocks.size() > m_blocksPerWorker) {
+  if (aWorker.m_blocks.size() > m_maxBlocksPerWorker) {
     aWorker.m_blocks.erase(aWorker.m_recent.back());
     aWorker.m_recent.pop_back();
   }
--- a/src/ferrytray/routing/cache_hints_test.cpp
+++ b/src/ferrytray/routing/cache_hints_test.cpp
@@ -24,29 +24,29 @@
   routing::CacheHints m_hints{ 10 };
 };
 
-TEST(CacheHints, RememberRunsUpToTheirCap)
+TEST(CacheHints, EvictsTheLeastRecentlyUsedBlocksBeyondTheLimit)
 {
-  m_hints.OnRun("w", Blocks(0, 4));
+  m_hints.OnRunCompleted("w", Blocks(0, 4));
   LONGS_EQUAL(4, m_hints.CachedPrefix("w", Blocks(0, 6)));
-  m_hints.OnRun("w", Blocks(100, 10));
+  m_hints.OnRunCompleted("w", Blocks(100, 10));
   LONGS_EQUAL(0, m_hints.CachedPrefix("w", Blocks(0, 6)));
 }
 
-TEST(CacheHints, TheEnginesWordCorrectsThem)
+TEST(CacheHints, ReportedCachedPrefixRemovesMissingBlocks)
 {
-  m_hints.OnRun("w", Blocks(0, 6));
-  m_hints.OnFound("w", Blocks(0, 6), 2);
+  m_hints.OnRunCompleted("w", Blocks(0, 6));
+  m_hints.OnCachedPrefixReported("w", Blocks(0, 6), 2);
   LONGS_EQUAL(2, m_hints.CachedPrefix("w", Blocks(0, 6)));
 }
 
-TEST(CacheHints, AGapMakesAWorkerUnknownUntilItIsListed)
+TEST(CacheHints, SequenceGapDisablesHintsUntilTheNextSnapshot)
 {
   const auto block = Blocks(7, 1);
   CHECK(m_hints.OnEvents("w", std::vector<routing::CacheEvent>{ { 1, block[0], true } }));
   LONGS_EQUAL(1, m_hints.CachedPrefix("w", block));
   CHECK_FALSE(m_hints.OnEvents("w", std::vector<routing::CacheEvent>{ { 3, block[0], true } }));
   LONGS_EQUAL(0, m_hints.CachedPrefix("w", block));
-  m_hints.OnList("w", 9, block);
+  m_hints.OnSnapshot("w", 9, block);
   LONGS_EQUAL(1, m_hints.CachedPrefix("w", block));
   CHECK(m_hints.OnEvents("w", std::vector<routing::CacheEvent>{ { 10, block[0], false } }));
   LONGS_EQUAL(0, m_hints.CachedPrefix("w", block));
--- a/src/ferrytray/routing/choose.cpp
+++ b/src/ferrytray/routing/choose.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /// Splits random bits into one small draw after another.
-class Draws
+class XorshiftRandom
 {
 public:
-  explicit Draws(std::uint64_t aBits)
+  explicit XorshiftRandom(std::uint64_t aBits)
     : m_bits(aBits | 1U)
   {
   }
@@ -36,15 +36,15 @@
 }
 
 // Up to so many candidates every plan is worked out, for the decision log.
-constexpr std::size_t kAlwaysPlanned = 64;
+constexpr std::size_t kMaxCandidatesWithoutPruning = 64;
 
 /// What a worker costs at the least: its queue, and computing what is kept nowhere.
-double LeastCost(const RequestShape& aRequest,
-                 const WorkerView& aWorker,
-                 const StoreView& aStore,
-                 const ChooseOptions& aOptions)
+double CostLowerBound(const RequestShape& aRequest,
+                      const WorkerView& aWorker,
+                      const StoreView& aStore,
+                      const ChooseOptions& aOptions)
 {
-  const base::Duration wait = QueueWait(aWorker, aOptions.m_trust) + aWorker.m_path;
+  const base::Duration wait = QueueWait(aWorker, aOptions.m_maxReportAge) + aWorker.m_roundTrip;
   const std::uint32_t kept = std::max(aWorker.m_cachedBlocks, aStore.m_storedBlocks);
   const std::uint32_t reusable = std::min(kept, aRequest.m_blocks) * aRequest.m_tokensPerBlock;
   const std::uint32_t tokens =
@@ -55,22 +55,23 @@
 
 } // namespace
 
-std::optional<Choice> Choose(const RequestShape& aRequest,
-                             std::span<const WorkerView> aWorkers,
-                             std::span<const StoreView> aStores,
-                             const ChooseOptions& aOptions,
-                             std::uint64_t aRandom,
-                             std::span<std::optional<Plan>> aPlans)
+std::optional<Choice> ChooseWorker(const RequestShape& aRequest,
+                                   std::span<const WorkerView> aWorkers,
+                                   std::span<const StoreView> aStores,
+                                   const ChooseOptions& aOptions,
+                                   std::uint64_t aRandom,
+                                   std::span<std::optional<Plan>> aPlans)
 {
   std::optional<Choice> best;
-  const bool prune = aPlans.empty() || aWorkers.size() > kAlwaysPlanned;
+  const bool prune = aPlans.empty() || aWorkers.size() > kMaxCandidatesWithoutPruning;
   const auto consider = [&](std::size_t aIndex) {
     if (prune && best &&
-        LeastCost(aRequest, aWorkers[aIndex], aStores[aIndex], aOptions) >= best->m_plan.m_cost) {
+        CostLowerBound(aRequest, aWorkers[aIndex], aStores[aIndex], aOptions) >=
+          best->m_plan.m_cost) {
       return;
     }
     const auto plan = CheapestPlan(
-      aRequest, aWorkers[aIndex], aStores[aIndex], aOptions.m_weights, aOptions.m_trust);
+      aRequest, aWorkers[aIndex], aStores[aIndex], aOptions.m_weights, aOptions.m_maxReportAge);
     if (!aPlans.empty()) {
       aPlans[aIndex] = plan;
     }
@@ -78,9 +79,9 @@
       best = Choice{ aIndex, *plan };
     }
   };
-  const std::size_t homes = std::min(aOptions.m_homes, aWorkers.size());
+  const std::size_t homes = std::min(aOptions.m_homeCount, aWorkers.size());
   const std::size_t rest = aWorkers.size() - homes;
-  if (AllFresh(aWorkers, aOptions.m_fresh) || rest <= aOptions.m_sampled) {
+  if (AllFresh(aWorkers, aOptions.m_freshReportAge) || rest <= aOptions.m_sampleSize) {
     for (std::size_t i = 0; i < aWorkers.size(); ++i) {
       consider(i);
     }
@@ -89,8 +90,8 @@
   for (std::size_t i = 0; i < homes; ++i) {
     consider(i);
   }
-  Draws draws(aRandom);
-  for (std::size_t i = 0; i < aOptions.m_sampled; ++i) {
+  XorshiftRandom draws(aRandom);
+  for (std::size_t i = 0; i < aOptions.m_sampleSize; ++i) {
     consider(homes + draws.Below(rest));
   }
   // The sample may have met only workers that cannot be used.
--- a/src/ferrytray/routing/cold_starts.cpp
+++ b/src/ferrytray/routing/cold_starts.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /// Rates below this bear no request at all (a second).
-constexpr double kLeastRate = 1e-3;
+constexpr double kMinRate = 1e-3;
 
 } // namespace
 
-void ColdStarts::OnTold(const std::string& aEngine,
-                        base::Duration aRemaining,
-                        bool aIsNew,
-                        base::TimePoint aNow)
+void ColdStarts::OnColdTimeReported(const std::string& aEngine,
+                                    base::Duration aRemaining,
+                                    bool aIsNew,
+                                    base::TimePoint aNow)
 {
   const auto found = m_engines.find(aEngine);
   if (found == m_engines.end() && aRemaining <= base::Duration::zero()) {
@@ -23,15 +23,15 @@
   if (!aIsNew && aRemaining > base::Duration::zero()) {
     HoldIfWarm(aEngine, aNow);
   }
-  m_engines[aEngine].m_toldUntil = aNow + aRemaining;
+  m_engines[aEngine].m_reportedColdUntil = aNow + aRemaining;
 }
 
-void ColdStarts::OnSuspected(const std::string& aEngine,
-                             base::Duration aColdFor,
-                             base::TimePoint aNow)
+void ColdStarts::OnRestartSuspected(const std::string& aEngine,
+                                    base::Duration aColdFor,
+                                    base::TimePoint aNow)
 {
   HoldIfWarm(aEngine, aNow);
-  m_engines[aEngine].m_suspectedUntil = aNow + aColdFor + m_options.m_newsWithin;
+  m_engines[aEngine].m_suspectedColdUntil = aNow + aColdFor + m_options.m_maxStateAge;
 }
 
 void ColdStarts::HoldIfWarm(const std::string& aEngine, base::TimePoint aNow)
@@ -40,8 +40,8 @@
     return;
   }
   Entry& entry = m_engines[aEngine];
-  entry.m_nextOwn = aNow + m_options.m_holdFor;
-  entry.m_nextAssigned = aNow + m_options.m_holdFor;
+  entry.m_nextOwn = aNow + m_options.m_holdTime;
+  entry.m_nextAssigned = aNow + m_options.m_holdTime;
 }
 
 void ColdStarts::Forget(const std::string& aEngine)
@@ -53,28 +53,33 @@
 {
   const auto found = m_engines.find(aEngine);
   return found != m_engines.end() &&
-         aNow < std::max(found->second.m_toldUntil, found->second.m_suspectedUntil);
+         aNow < std::max(found->second.m_reportedColdUntil, found->second.m_suspectedColdUntil);
 }
 
-bool ColdStarts::MaySend(const std::string& aEngine, ColdUse aUse, base::TimePoint aNow) const
+bool ColdStarts::MaySend(const std::string& aEngine,
+                         ColdTrafficSource aUse,
+                         base::TimePoint aNow) const
 {
   const auto found = m_engines.find(aEngine);
   if (found == m_engines.end()) {
     return true;
   }
-  return aNow >= (aUse == ColdUse::Own ? found->second.m_nextOwn : found->second.m_nextAssigned);
+  return aNow >=
+         (aUse == ColdTrafficSource::Own ? found->second.m_nextOwn : found->second.m_nextAssigned);
 }
 
 void ColdStarts::OnSent(const std::string& aEngine,
-                        ColdUse aUse,
-                        double aBearable,
+                        ColdTrafficSource aUse,
+                        double aColdRate,
                         base::TimePoint aNow)
 {
-  const double own = aBearable * m_options.m_ownPart / static_cast<double>(m_options.m_hosts);
-  const double rate = aUse == ColdUse::Own ? own : aBearable * m_options.m_assignedPart;
-  const base::TimePoint next = aNow + base::FromSeconds(1.0 / std::max(rate, kLeastRate));
+  const double own =
+    aColdRate * m_options.m_ownRateShare / static_cast<double>(m_options.m_sendersPerEngine);
+  const double rate =
+    aUse == ColdTrafficSource::Own ? own : aColdRate * m_options.m_assignedRateShare;
+  const base::TimePoint next = aNow + base::FromSeconds(1.0 / std::max(rate, kMinRate));
   Entry& entry = m_engines[aEngine];
-  (aUse == ColdUse::Own ? entry.m_nextOwn : entry.m_nextAssigned) = next;
+  (aUse == ColdTrafficSource::Own ? entry.m_nextOwn : entry.m_nextAssigned) = next;
 }
 
 } // namespace ferrytray::routing
--- a/src/ferrytray/routing/cold_starts_test.cpp
+++ b/src/ferrytray/routing/cold_starts_test.cpp
@@ -5,12 +5,12 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 using routing::ColdStarts;
-using routing::ColdUse;
+using routing::ColdTrafficSource;
 
 namespace {
 
 const base::TimePoint kNow = base::TimePoint(base::Duration(1'000'000));
-constexpr double kBearable = 14; // requests a second
+constexpr double kColdRate = 14; // requests a second
 
 } // namespace
 
@@ -19,40 +19,40 @@
   ColdStarts m_cold;
 };
 
-TEST(ColdStarts, AnEnginesLatestWordCounts)
+TEST(ColdStarts, LatestReportedColdTimeApplies)
 {
-  m_cold.OnTold("e", 0s, true, kNow);
+  m_cold.OnColdTimeReported("e", 0s, true, kNow);
   CHECK_FALSE(m_cold.IsCold("e", kNow));
-  m_cold.OnTold("e", 3s, true, kNow);
+  m_cold.OnColdTimeReported("e", 3s, true, kNow);
   CHECK(m_cold.IsCold("e", kNow + 2900ms));
   CHECK_FALSE(m_cold.IsCold("e", kNow + 3s));
-  m_cold.OnTold("e", 0s, true, kNow + 1s);
+  m_cold.OnColdTimeReported("e", 0s, true, kNow + 1s);
   CHECK_FALSE(m_cold.IsCold("e", kNow + 1s));
-  m_cold.OnTold("e", 3s, true, kNow + 2s); // again, without a start
+  m_cold.OnColdTimeReported("e", 3s, true, kNow + 2s); // again, without a start
   CHECK(m_cold.IsCold("e", kNow + 4s));
 }
 
-TEST(ColdStarts, AWordFromBeforeDoesNotEndASuspicion)
+TEST(ColdStarts, OlderWarmReportDoesNotClearASuspectedRestart)
 {
-  m_cold.OnSuspected("e", 3s, kNow);
-  m_cold.OnTold("e", 0s, true, kNow + 1s);
+  m_cold.OnRestartSuspected("e", 3s, kNow);
+  m_cold.OnColdTimeReported("e", 0s, true, kNow + 1s);
   CHECK(m_cold.IsCold("e", kNow + 5s));
   CHECK_FALSE(m_cold.IsCold("e", kNow + 5500ms));
 }
 
-TEST(ColdStarts, EachRequestIsFollowedByAPause)
+TEST(ColdStarts, LimitsTheRequestRateOfEachSource)
 {
-  m_cold.OnTold("e", 10s, true, kNow);
+  m_cold.OnColdTimeReported("e", 10s, true, kNow);
   std::size_t own = 0;
   std::size_t assigned = 0;
   for (auto at = kNow; at < kNow + 1s; at += 5ms) {
-    if (m_cold.MaySend("e", ColdUse::Own, at)) {
+    if (m_cold.MaySend("e", ColdTrafficSource::Own, at)) {
       ++own;
-      m_cold.OnSent("e", ColdUse::Own, kBearable, at);
+      m_cold.OnSent("e", ColdTrafficSource::Own, kColdRate, at);
     }
-    if (m_cold.MaySend("e", ColdUse::Assigned, at)) {
+    if (m_cold.MaySend("e", ColdTrafficSource::Assigned, at)) {
       ++assigned;
-      m_cold.OnSent("e", ColdUse::Assigned, kBearable, at);
+      m_cold.OnSent("e", ColdTrafficSource::Assigned, kColdRate, at);
     }
   }
   // A host's part is 2.8 a second, and so is that of the host that gives out long prompts.
@@ -60,33 +60,33 @@
   LONGS_EQUAL(3, assigned);
 }
 
-TEST(ColdStarts, AnEngineThatBearsNothingGetsOneRequest)
+TEST(ColdStarts, ZeroRateAllowsOneRequestOnly)
 {
-  m_cold.OnTold("e", 10s, true, kNow);
-  m_cold.OnSent("e", ColdUse::Own, 0, kNow);
-  CHECK_FALSE(m_cold.MaySend("e", ColdUse::Own, kNow + 9s));
+  m_cold.OnColdTimeReported("e", 10s, true, kNow);
+  m_cold.OnSent("e", ColdTrafficSource::Own, 0, kNow);
+  CHECK_FALSE(m_cold.MaySend("e", ColdTrafficSource::Own, kNow + 9s));
 }
 
-TEST(ColdStarts, WhatIsForgottenIsWarm)
+TEST(ColdStarts, ForgottenEngineIsNotCold)
 {
-  m_cold.OnTold("e", 10s, true, kNow);
+  m_cold.OnColdTimeReported("e", 10s, true, kNow);
   m_cold.Forget("e");
   CHECK_FALSE(m_cold.IsCold("e", kNow));
 }
 
-TEST(ColdStarts, AnEngineThatWasUsedAsWarmGetsNothingUntilOthersHaveHeard)
+TEST(ColdStarts, EngineThatTurnsColdGetsNoRequestsDuringTheHoldTime)
 {
-  m_cold.OnTold("e", 3s, false, kNow);
-  CHECK_FALSE(m_cold.MaySend("e", ColdUse::Own, kNow + 900ms));
-  CHECK_FALSE(m_cold.MaySend("e", ColdUse::Assigned, kNow + 900ms));
-  m_cold.OnTold("e", 2s, false, kNow + 900ms); // its next word does not begin that anew
-  CHECK(m_cold.MaySend("e", ColdUse::Own, kNow + 1s));
-  m_cold.OnSuspected("f", 3s, kNow);
-  CHECK_FALSE(m_cold.MaySend("f", ColdUse::Own, kNow + 900ms));
+  m_cold.OnColdTimeReported("e", 3s, false, kNow);
+  CHECK_FALSE(m_cold.MaySend("e", ColdTrafficSource::Own, kNow + 900ms));
+  CHECK_FALSE(m_cold.MaySend("e", ColdTrafficSource::Assigned, kNow + 900ms));
+  m_cold.OnColdTimeReported("e", 2s, false, kNow + 900ms); // its next word does not begin that anew
+  CHECK(m_cold.MaySend("e", ColdTrafficSource::Own, kNow + 1s));
+  m_cold.OnRestartSuspected("f", 3s, kNow);
+  CHECK_FALSE(m_cold.MaySend("f", ColdTrafficSource::Own, kNow + 900ms));
 }
 
-TEST(ColdStarts, ANewEngineIsUsedAtOnce)
+TEST(ColdStarts, NewColdEngineGetsRequestsImmediately)
 {
-  m_cold.OnTold("e", 3s, true, kNow);
-  CHECK(m_cold.MaySend("e", ColdUse::Own, kNow));
+  m_cold.OnColdTimeReported("e", 3s, true, kNow);
+  CHECK(m_cold.MaySend("e", ColdTrafficSource::Own, kNow));
 }
--- a/src/ferrytray/routing/endpoint_board_test.cpp
+++ b/src/ferrytray/routing/endpoint_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/routing/endpoint_board.hpp"
+#include "ferrytray/routing/endpoint_tracker.hpp"
 
 #include <CppUTest/TestHarness.h> // for TEST
 
@@ -11,24 +11,24 @@
 
 } // namespace
 
-TEST_GROUP(EndpointBoard)
+TEST_GROUP(EndpointTracker)
 {
-  routing::EndpointBoard m_board;
+  routing::EndpointTracker m_board;
 };
 
-TEST(EndpointBoard, AvoidsAnEndpointLongerEachTimeItIsNotReached)
+TEST(EndpointTracker, BacksOffExponentiallyFromAnUnreachableEndpoint)
 {
   m_board.OnUnreachable("a", kStart);
-  CHECK(m_board.Avoided("a", kStart + 499ms));
-  CHECK_FALSE(m_board.Avoided("a", kStart + 500ms));
+  CHECK(m_board.IsAvoided("a", kStart + 499ms));
+  CHECK_FALSE(m_board.IsAvoided("a", kStart + 500ms));
   m_board.OnUnreachable("a", kStart + 1s);
-  CHECK(m_board.Avoided("a", kStart + 1999ms));
+  CHECK(m_board.IsAvoided("a", kStart + 1999ms));
   m_board.OnReply("a", kStart + 2s);
   m_board.OnUnreachable("a", kStart + 3s);
-  CHECK_FALSE(m_board.Avoided("a", kStart + 3500ms));
+  CHECK_FALSE(m_board.IsAvoided("a", kStart + 3500ms));
 }
 
-TEST(EndpointBoard, KnowsWhetherAnEndpointHasAnsweredLately)
+TEST(EndpointTracker, AnsweredSinceComparesTheLastReplyTime)
 {
   CHECK_FALSE(m_board.AnsweredSince("a", kStart));
   m_board.OnSent("a", 1);
@@ -40,7 +40,7 @@
   CHECK_FALSE(m_board.AnsweredSince("a", kStart));
 }
 
-TEST(EndpointBoard, AConnectionIsNotUsedWhenItsEndpointIsAboutToCloseIt)
+TEST(EndpointTracker, MaxIdleStaysBelowTheEndpointsIdleTimeout)
 {
   CHECK(m_board.MaxIdle("a") == 4s);
   m_board.OnIdleTimeout("a", 3s);
@@ -51,13 +51,13 @@
   CHECK(m_board.MaxIdle("a") == 1s);
 }
 
-TEST(EndpointBoard, CountsOpenRequests)
+TEST(EndpointTracker, CountsOpenRequests)
 {
   m_board.OnSent("a", 3);
   m_board.OnSent("a", 3);
   m_board.OnEnded("a", 3);
-  LONGS_EQUAL(1, m_board.Open("a"));
-  LONGS_EQUAL(0, m_board.Open("b"));
-  LONGS_EQUAL(3, m_board.OpenWork("a"));
-  LONGS_EQUAL(0, m_board.OpenWork("b"));
+  LONGS_EQUAL(1, m_board.OpenRequests("a"));
+  LONGS_EQUAL(0, m_board.OpenRequests("b"));
+  LONGS_EQUAL(3, m_board.WorkOfOpenRequests("a"));
+  LONGS_EQUAL(0, m_board.WorkOfOpenRequests("b"));
 }
--- a/src/ferrytray/routing/engine_memory.cpp
+++ b/src/ferrytray/routing/engine_memory.cpp
@@ -2,12 +2,12 @@
 
 namespace ferrytray::routing {
 
-PromptSize SizeOf(std::uint32_t aPromptTokens,
-                  std::uint64_t aMemoryTokens,
-                  const EngineMemoryOptions& aOptions)
+PromptSize ClassifyPrompt(std::uint32_t aPromptTokens,
+                          std::uint64_t aMemoryTokens,
+                          const EngineMemoryOptions& aOptions)
 {
-  const double most = static_cast<double>(aMemoryTokens) * aOptions.m_shortPart;
-  return static_cast<double>(aPromptTokens) < most ? PromptSize::Short : PromptSize::Long;
+  const double limit = static_cast<double>(aMemoryTokens) * aOptions.m_maxShortPromptShare;
+  return static_cast<double>(aPromptTokens) < limit ? PromptSize::Short : PromptSize::Long;
 }
 
 bool HasRoom(PromptSize aSize,
@@ -15,7 +15,8 @@
              std::uint64_t aMemoryTokens,
              const EngineMemoryOptions& aOptions)
 {
-  const double fill = aSize == PromptSize::Short ? aOptions.m_shortFill : aOptions.m_longFill;
+  const double fill =
+    aSize == PromptSize::Short ? aOptions.m_maxFillForShort : aOptions.m_maxFillForLong;
   const double held = static_cast<double>(TokensOf(aOpen));
   return held <= static_cast<double>(aMemoryTokens) * fill;
 }
--- a/src/ferrytray/routing/engine_memory_test.cpp
+++ b/src/ferrytray/routing/engine_memory_test.cpp
@@ -17,21 +17,21 @@
 
 TEST_GROUP(EngineMemory){};
 
-TEST(EngineMemory, ALongPromptWeighsSeveralShortOnes)
+TEST(EngineMemory, WorkGrowsWithPromptTokens)
 {
   LONGS_EQUAL(2, routing::WorkOf(0));
   LONGS_EQUAL(4, routing::WorkOf(300));
   LONGS_EQUAL(95, routing::WorkOf(kLong));
 }
 
-TEST(EngineMemory, SizeIsAgainstTheEnginesOwnMemory)
+TEST(EngineMemory, PromptSizeIsRelativeToEngineMemory)
 {
-  CHECK(routing::SizeOf(kShort, kMemory) == PromptSize::Short);
-  CHECK(routing::SizeOf(kLong, kMemory) == PromptSize::Long);
-  CHECK(routing::SizeOf(kLong, 10 * kMemory) == PromptSize::Short);
+  CHECK(routing::ClassifyPrompt(kShort, kMemory) == PromptSize::Short);
+  CHECK(routing::ClassifyPrompt(kLong, kMemory) == PromptSize::Long);
+  CHECK(routing::ClassifyPrompt(kLong, 10 * kMemory) == PromptSize::Short);
 }
 
-TEST(EngineMemory, FiveLongPromptsFillAnEngineAndShortOnesStillBegin)
+TEST(EngineMemory, EngineFullOfLongPromptsStillAdmitsShortOnes)
 {
   routing::Work open = 0;
   int begun = 0;
@@ -43,9 +43,9 @@
   CHECK(HasRoom(PromptSize::Short, open, kMemory));
 }
 
-TEST(EngineMemory, ThePromptsOwnLengthDoesNotDecide)
+TEST(EngineMemory, AdmissionIgnoresThePromptsOwnLength)
 {
   const routing::Work open = routing::WorkOf(4 * kLong);
-  CHECK(HasRoom(routing::SizeOf(kLong, kMemory), open, kMemory));
-  CHECK(HasRoom(routing::SizeOf(3 * kLong, kMemory), open, kMemory));
+  CHECK(HasRoom(routing::ClassifyPrompt(kLong, kMemory), open, kMemory));
+  CHECK(HasRoom(routing::ClassifyPrompt(3 * kLong, kMemory), open, kMemory));
 }
--- a/src/ferrytray/routing/estimate.cpp
+++ b/src/ferrytray/routing/estimate.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-double WeighedSeconds(double aSeconds, const CostWeights& aWeights)
+double PenalizeLateness(double aSeconds, const CostWeights& aWeights)
 {
-  const bool over = aWeights.m_target > 0 && aSeconds > aWeights.m_target;
-  const double late = over ? aSeconds - aWeights.m_target : 0;
-  return aSeconds + late * (CostWeights::kOverTarget - 1);
+  const bool over = aWeights.m_targetSeconds > 0 && aSeconds > aWeights.m_targetSeconds;
+  const double late = over ? aSeconds - aWeights.m_targetSeconds : 0;
+  return aSeconds + late * (CostWeights::kLateFactor - 1);
 }
 
-Plan PlanFor(std::uint32_t aKeepUpTo,
+Plan PlanFor(std::uint32_t aReusedBlocks,
              const RequestShape& aRequest,
              const WorkerView& aWorker,
              const StoreView& aStore,
@@ -23,7 +23,7 @@
 {
   const std::uint32_t cached = std::min(aWorker.m_cachedBlocks, aRequest.m_blocks);
   Plan plan;
-  plan.m_restoreBlocks = aKeepUpTo > cached ? aKeepUpTo - cached : 0;
+  plan.m_restoreBlocks = aReusedBlocks > cached ? aReusedBlocks - cached : 0;
   const std::uint32_t reused = (cached + plan.m_restoreBlocks) * aRequest.m_tokensPerBlock;
   plan.m_recomputeTokens = aRequest.m_promptTokens - std::min(reused, aRequest.m_promptTokens);
   plan.m_engineTime = base::FromSeconds(plan.m_recomputeTokens / aWorker.m_tokensPerSecond);
@@ -32,26 +32,26 @@
   base::Duration ready = aWait;
   if (plan.m_restoreBlocks > 0) {
     const base::Duration import =
-      aStore.m_linkQueue + aStore.m_path + base::FromSeconds(linkSeconds);
+      aStore.m_linkQueue + aStore.m_roundTrip + base::FromSeconds(linkSeconds);
     ready = std::max(aWait, import);
   }
-  plan.m_firstToken = aWorker.m_path + ready + plan.m_engineTime;
+  plan.m_firstToken = aWorker.m_roundTrip + ready + plan.m_engineTime;
   // Context that is kept somewhere and computed all the same is what the share recomputed counts.
   const std::uint32_t kept = std::max(cached, std::min(aStore.m_storedBlocks, aRequest.m_blocks));
   const std::uint32_t wasted =
     (kept - std::min(kept, cached + plan.m_restoreBlocks)) * aRequest.m_tokensPerBlock;
-  plan.m_cost = aWeights.m_firstToken * WeighedSeconds(base::Seconds(plan.m_firstToken), aWeights) +
-                aWeights.m_recompute * wasted / aWorker.m_tokensPerSecond +
-                aWeights.m_link * linkSeconds;
+  plan.m_cost =
+    aWeights.m_firstToken * PenalizeLateness(base::Seconds(plan.m_firstToken), aWeights) +
+    aWeights.m_recompute * wasted / aWorker.m_tokensPerSecond + aWeights.m_link * linkSeconds;
   return plan;
 }
 
 /// The blocks whose import lasts just as long as the queue.
-std::uint32_t BreakPoint(const RequestShape& aRequest,
-                         const StoreView& aStore,
-                         base::Duration aWait)
+std::uint32_t BlocksImportedDuringWait(const RequestShape& aRequest,
+                                       const StoreView& aStore,
+                                       base::Duration aWait)
 {
-  const base::Duration spare = aWait - aStore.m_linkQueue - aStore.m_path;
+  const base::Duration spare = aWait - aStore.m_linkQueue - aStore.m_roundTrip;
   if (spare <= base::Duration::zero() || aRequest.m_bytesPerBlock <= 0) {
     return 0;
   }
@@ -60,22 +60,22 @@
 }
 
 /// The most blocks whose import still lets the first token come by the target.
-std::uint32_t TargetPoint(const RequestShape& aRequest,
-                          const WorkerView& aWorker,
-                          const StoreView& aStore,
-                          const CostWeights& aWeights,
-                          std::uint32_t aCached)
+std::uint32_t BlocksImportedWithinTarget(const RequestShape& aRequest,
+                                         const WorkerView& aWorker,
+                                         const StoreView& aStore,
+                                         const CostWeights& aWeights,
+                                         std::uint32_t aCached)
 {
-  const double importBlock = aRequest.m_bytesPerBlock / aStore.m_bytesPerSecond;
-  const double computeBlock = aRequest.m_tokensPerBlock / aWorker.m_tokensPerSecond;
-  if (aWeights.m_target <= 0 || importBlock <= computeBlock) {
+  const double importSecondsPerBlock = aRequest.m_bytesPerBlock / aStore.m_bytesPerSecond;
+  const double computeSecondsPerBlock = aRequest.m_tokensPerBlock / aWorker.m_tokensPerSecond;
+  if (aWeights.m_targetSeconds <= 0 || importSecondsPerBlock <= computeSecondsPerBlock) {
     return 0;
   }
   const double tokens =
     aRequest.m_promptTokens - static_cast<double>(aCached) * aRequest.m_tokensPerBlock;
-  const double start = base::Seconds(aWorker.m_path + aStore.m_linkQueue + aStore.m_path);
-  const double spare = aWeights.m_target - start - tokens / aWorker.m_tokensPerSecond;
-  const double blocks = spare / (importBlock - computeBlock);
+  const double start = base::Seconds(aWorker.m_roundTrip + aStore.m_linkQueue + aStore.m_roundTrip);
+  const double spare = aWeights.m_targetSeconds - start - tokens / aWorker.m_tokensPerSecond;
+  const double blocks = spare / (importSecondsPerBlock - computeSecondsPerBlock);
   return blocks <= 0
            ? 0
            : static_cast<std::uint32_t>(std::min(blocks, static_cast<double>(aRequest.m_blocks)));
@@ -83,35 +83,36 @@
 
 } // namespace
 
-base::Duration QueueWait(const WorkerView& aWorker, base::Duration aTrust)
+base::Duration QueueWait(const WorkerView& aWorker, base::Duration aMaxReportAge)
 {
-  const bool trusted = aWorker.m_reportAge <= aTrust;
+  const bool trusted = aWorker.m_reportAge <= aMaxReportAge;
   const base::Duration reported = trusted ? aWorker.m_reportedWait : base::Duration::zero();
   // The queue in the report has been worked on since; what was sent since and has not been
   // answered is there still, however old the report is.
-  const base::Duration worked = std::max(aWorker.m_reportAge, aWorker.m_answeredSince);
+  const base::Duration worked = std::max(aWorker.m_reportAge, aWorker.m_completedSinceReport);
   const base::Duration left = std::max(reported - worked, base::Duration::zero());
-  return left + aWorker.m_sentSince + aWorker.m_swapWait;
+  return left + aWorker.m_sentSinceReport + aWorker.m_swapWait;
 }
 
 std::optional<Plan> CheapestPlan(const RequestShape& aRequest,
                                  const WorkerView& aWorker,
                                  const StoreView& aStore,
                                  const CostWeights& aWeights,
-                                 base::Duration aTrust)
+                                 base::Duration aMaxReportAge)
 {
   if (!aWorker.m_usable) {
     return std::nullopt;
   }
-  const base::Duration wait = QueueWait(aWorker, aTrust);
+  const base::Duration wait = QueueWait(aWorker, aMaxReportAge);
   const std::uint32_t cached = std::min(aWorker.m_cachedBlocks, aRequest.m_blocks);
   const std::uint32_t stored = std::min(aStore.m_storedBlocks, aRequest.m_blocks);
   Plan best = PlanFor(cached, aRequest, aWorker, aStore, aWeights, wait);
   if (stored <= cached) {
     return best;
   }
-  const std::uint32_t hidden = BreakPoint(aRequest, aStore, wait);
-  const std::uint32_t inTime = TargetPoint(aRequest, aWorker, aStore, aWeights, cached);
+  const std::uint32_t hidden = BlocksImportedDuringWait(aRequest, aStore, wait);
+  const std::uint32_t inTime =
+    BlocksImportedWithinTarget(aRequest, aWorker, aStore, aWeights, cached);
   for (const std::uint32_t upTo : std::array{ stored,
                                               std::clamp(cached + hidden, cached, stored),
                                               std::clamp(cached + inTime, cached, stored) }) {
--- a/src/ferrytray/routing/placement_test.cpp
+++ b/src/ferrytray/routing/placement_test.cpp
@@ -12,7 +12,7 @@
   std::vector<PlacementCandidate> m_four{ { "a" }, { "b" }, { "c" }, { "d" } };
 };
 
-TEST(Placement, AKeyStaysAtItsHomeWhileThatOneIsNotBusy)
+TEST(Placement, PrefersTheHomeUnlessItIsOverloaded)
 {
   const auto first = routing::PlaceAtHome(m_four, "key", {});
   LONGS_EQUAL(first->m_home, first->m_chosen);
@@ -22,27 +22,27 @@
   CHECK(second->m_chosen != second->m_home);
 }
 
-TEST(Placement, AvoidedEndpointsAreUsedOnlyWhenAllAre)
+TEST(Placement, UsesAvoidedEndpointsOnlyWhenAllAreAvoided)
 {
   for (std::size_t i = 0; i < 3; ++i) {
     m_four[i].m_avoided = true;
   }
   for (std::uint64_t random = 0; random < 20; ++random) {
-    LONGS_EQUAL(3, *routing::PlaceAnywhere(m_four, random));
+    LONGS_EQUAL(3, *routing::PlaceByTwoChoices(m_four, random));
   }
   m_four[3].m_avoided = true;
-  CHECK(routing::PlaceAnywhere(m_four, 0).has_value());
-  CHECK_FALSE(routing::PlaceAnywhere({}, 0).has_value());
+  CHECK(routing::PlaceByTwoChoices(m_four, 0).has_value());
+  CHECK_FALSE(routing::PlaceByTwoChoices({}, 0).has_value());
 }
 
-TEST(Placement, TheLessBusyOfTwoIsTaken)
+TEST(Placement, PicksTheLessLoadedOfTwoCandidates)
 {
   m_four[0].m_work = 5;
   constexpr std::uint64_t kFirstAndSecond = std::uint64_t{ 1 } << 32U;
-  LONGS_EQUAL(1, *routing::PlaceAnywhere(m_four, kFirstAndSecond));
+  LONGS_EQUAL(1, *routing::PlaceByTwoChoices(m_four, kFirstAndSecond));
 }
 
-TEST(Placement, ABusyHomesPromptGoesToTheLeastBusyOfItsNextHomes)
+TEST(Placement, OverloadedHomeFallsBackToTheLeastLoadedOfItsHomes)
 {
   const auto first = routing::PlaceAtHome(m_four, "key", {});
   m_four[first->m_home].m_work = 960;
@@ -58,22 +58,22 @@
   LONGS_EQUAL(first->m_home, next->m_home);
 }
 
-TEST(Placement, AFullHomesPromptGoesToOneThatIsNot)
+TEST(Placement, FullHomeFallsBackToAHomeWithFreeMemory)
 {
   const auto home = routing::PlaceAtHome(m_four, "key", {})->m_home;
   for (PlacementCandidate& candidate : m_four) {
     candidate.m_work = 500;
     candidate.m_full = true;
   }
-  const std::size_t roomy = (home + 1) % m_four.size();
-  m_four[roomy].m_work = 490;
-  m_four[roomy].m_full = false;
-  LONGS_EQUAL(roomy, routing::PlaceAtHome(m_four, "key", {})->m_chosen);
+  const std::size_t withFreeMemory = (home + 1) % m_four.size();
+  m_four[withFreeMemory].m_work = 490;
+  m_four[withFreeMemory].m_full = false;
+  LONGS_EQUAL(withFreeMemory, routing::PlaceAtHome(m_four, "key", {})->m_chosen);
 }
 
 // Load: many hosts that decide alike on late reports. If each sent what its homes cannot take to
 // the least busy engine of all, that one would get the overflow of every host at once.
-TEST(Placement, WhatTheHomesCannotTakeIsNotSentToTheOneIdleEngineByAll)
+TEST(Placement, OverflowIsNotConcentratedOnASingleIdleEngine)
 {
   constexpr std::size_t kEngines = 60;
   constexpr std::size_t kKeys = 600;
--- a/src/ferrytray/routing/prefill_queues.cpp
+++ b/src/ferrytray/routing/prefill_queues.cpp
@@ -8,10 +8,10 @@
 
 namespace ferrytray::routing {
 
-base::Duration PrefillQueues::TimeFor(std::uint32_t aTokens) const
+base::Duration PrefillQueues::PrefillTime(std::uint32_t aTokens) const
 {
   constexpr double kMillis = 1000;
-  return base::FromSeconds(static_cast<double>(aTokens) / m_tokensPerMilli / kMillis);
+  return base::FromSeconds(static_cast<double>(aTokens) / m_tokensPerMillisecond / kMillis);
 }
 
 base::Duration PrefillQueues::WaitAt(const std::string& aEngine, base::TimePoint aNow) const
@@ -24,21 +24,23 @@
 base::Duration PrefillQueues::CostAt(const PrefillEngine& aEngine, base::TimePoint aNow) const
 {
   const base::Duration wait = WaitAt(aEngine.m_name, aNow);
-  if (aEngine.m_memory == 0) {
+  if (aEngine.m_memoryTokens == 0) {
     return wait;
   }
   const double fill =
-    static_cast<double>(aEngine.m_heldTokens) / static_cast<double>(aEngine.m_memory);
-  const double taken = std::max(0.0, fill - m_options.m_fullFrom) / (1 - m_options.m_fullFrom);
-  return wait + base::FromSeconds(taken * base::Seconds(m_options.m_fullCosts));
+    static_cast<double>(aEngine.m_heldTokens) / static_cast<double>(aEngine.m_memoryTokens);
+  const double taken =
+    std::max(0.0, fill - m_options.m_penaltyStartFill) / (1 - m_options.m_penaltyStartFill);
+  return wait + base::FromSeconds(taken * base::Seconds(m_options.m_fullMemoryPenalty));
 }
 
-std::optional<std::size_t> PrefillQueues::ReaderOf(const std::string& aKey,
-                                                   std::span<const std::string> aNames,
-                                                   base::TimePoint aNow) const
+std::optional<std::size_t> PrefillQueues::RecentPrefillEngine(const std::string& aKey,
+                                                              std::span<const std::string> aNames,
+                                                              base::TimePoint aNow) const
 {
-  const auto last = m_lastRead.find(aKey);
-  if (last == m_lastRead.end() || aNow >= last->second.m_at + m_options.m_readFor) {
+  const auto last = m_lastPrefills.find(aKey);
+  if (last == m_lastPrefills.end() ||
+      aNow >= last->second.m_assignedAt + m_options.m_partSaveTime) {
     return std::nullopt;
   }
   const auto found = std::find(aNames.begin(), aNames.end(), last->second.m_engine);
@@ -46,14 +48,14 @@
                                : std::optional(static_cast<std::size_t>(found - aNames.begin()));
 }
 
-std::optional<PrefillChoice> PrefillQueues::Give(const PrefillJob& aJob,
-                                                 std::span<const PrefillEngine> aEngines,
-                                                 base::TimePoint aNow)
+std::optional<PrefillChoice> PrefillQueues::Assign(const PrefillJob& aJob,
+                                                   std::span<const PrefillEngine> aEngines,
+                                                   base::TimePoint aNow)
 {
   if (aEngines.empty()) {
     return std::nullopt;
   }
-  Bound(aNow);
+  EvictExpired(aNow);
   std::vector<std::string> names;
   std::vector<base::Duration> costs;
   for (const PrefillEngine& engine : aEngines) {
@@ -63,19 +65,20 @@
   const auto least = std::min_element(costs.begin(), costs.end());
   PrefillChoice choice;
   choice.m_engine = static_cast<std::size_t>(least - costs.begin());
-  std::uint32_t tokens = aJob.m_readTokens;
-  if (const auto reader = ReaderOf(aJob.m_key, names, aNow)) {
-    const std::uint32_t shared = aJob.m_readTokens - std::min(aJob.m_readTokens, aJob.m_ownTokens);
-    if (costs[*reader] <= *least + TimeFor(shared)) {
-      choice.m_engine = *reader;
-      tokens = aJob.m_ownTokens;
+  std::uint32_t tokens = aJob.m_prefillTokens;
+  if (const auto prefilling = RecentPrefillEngine(aJob.m_key, names, aNow)) {
+    const std::uint32_t shared =
+      aJob.m_prefillTokens - std::min(aJob.m_prefillTokens, aJob.m_unsharedTokens);
+    if (costs[*prefilling] <= *least + PrefillTime(shared)) {
+      choice.m_engine = *prefilling;
+      tokens = aJob.m_unsharedTokens;
     } else {
-      choice.m_holder = names[*reader];
+      choice.m_holder = names[*prefilling];
     }
   } else {
     const base::Digest128 key = base::HashWithSeed({}, aJob.m_key);
     const std::size_t home = RendezvousHomes(key, names, 1).front();
-    if (costs[home] <= *least + m_options.m_homeWorth) {
+    if (costs[home] <= *least + m_options.m_homeWaitTolerance) {
       choice.m_engine = home;
     }
   }
@@ -87,61 +90,62 @@
 
 void PrefillQueues::Queue(const PrefillJob& aJob,
                           const std::string& aEngine,
-                          std::uint32_t aReadTokens,
+                          std::uint32_t aPrefillTokens,
                           base::TimePoint aNow)
 {
-  const base::Duration queue = WaitAt(aEngine, aNow) + TimeFor(aReadTokens);
-  m_busyUntil[aEngine] = aNow + std::min(queue, m_options.m_longest);
-  if (aJob.m_readTokens > aJob.m_ownTokens) {
-    m_lastRead[aJob.m_key] = { aEngine, aNow };
+  const base::Duration queue = WaitAt(aEngine, aNow) + PrefillTime(aPrefillTokens);
+  m_busyUntil[aEngine] = aNow + std::min(queue, m_options.m_maxWait);
+  if (aJob.m_prefillTokens > aJob.m_unsharedTokens) {
+    m_lastPrefills[aJob.m_key] = { aEngine, aNow };
   }
-  Remember({ aEngine, aJob.m_untoldTokens, aNow });
+  AddAssignment({ aEngine, aJob.m_unreportedTokens, aNow });
 }
 
-std::uint64_t PrefillQueues::GivenTokens(const std::string& aEngine, base::TimePoint aNow)
+std::uint64_t PrefillQueues::UnreportedTokens(const std::string& aEngine, base::TimePoint aNow)
 {
-  ForgetTold(aNow);
-  const auto found = m_givenTokens.find(aEngine);
-  return found == m_givenTokens.end() ? 0 : found->second;
+  ExpireAssignments(aNow);
+  const auto found = m_assignedTokensByEngine.find(aEngine);
+  return found == m_assignedTokensByEngine.end() ? 0 : found->second;
 }
 
-void PrefillQueues::Remember(const Given& aGiven)
+void PrefillQueues::AddAssignment(const Assignment& aAssignment)
 {
-  if (aGiven.m_tokens == 0) {
+  if (aAssignment.m_tokens == 0) {
     return;
   }
-  m_givenTokens[aGiven.m_engine] += aGiven.m_tokens;
-  m_given.push_back(aGiven);
+  m_assignedTokensByEngine[aAssignment.m_engine] += aAssignment.m_tokens;
+  m_assignments.push_back(aAssignment);
 }
 
-void PrefillQueues::ForgetTold(base::TimePoint aNow)
+void PrefillQueues::ExpireAssignments(base::TimePoint aNow)
 {
-  while (!m_given.empty() && m_given.front().m_at + m_options.m_toldAfter <= aNow) {
-    const auto found = m_givenTokens.find(m_given.front().m_engine);
-    found->second -= m_given.front().m_tokens;
+  while (!m_assignments.empty() &&
+         m_assignments.front().m_assignedAt + m_options.m_reportLag <= aNow) {
+    const auto found = m_assignedTokensByEngine.find(m_assignments.front().m_engine);
+    found->second -= m_assignments.front().m_tokens;
     if (found->second == 0) {
-      m_givenTokens.erase(found);
+      m_assignedTokensByEngine.erase(found);
     }
-    m_given.pop_front();
+    m_assignments.pop_front();
   }
 }
 
-void PrefillQueues::OnRead(std::uint32_t aTokens, base::Duration aTook)
+void PrefillQueues::OnPrefilled(std::uint32_t aTokens, base::Duration aDuration)
 {
   constexpr double kMillis = 1000;
-  const double millis = std::max(1.0, base::Seconds(aTook) * kMillis);
+  const double millis = std::max(1.0, base::Seconds(aDuration) * kMillis);
   const double rate = static_cast<double>(aTokens) / millis;
-  m_tokensPerMilli += m_options.m_follow * (rate - m_tokensPerMilli);
+  m_tokensPerMillisecond += m_options.m_rateSmoothing * (rate - m_tokensPerMillisecond);
 }
 
-void PrefillQueues::Bound(base::TimePoint aNow)
+void PrefillQueues::EvictExpired(base::TimePoint aNow)
 {
-  if (m_busyUntil.size() > m_options.m_most) {
+  if (m_busyUntil.size() > m_options.m_maxEntries) {
     std::erase_if(m_busyUntil, [&](const auto& aPair) { return aPair.second <= aNow; });
   }
-  if (m_lastRead.size() > m_options.m_most) {
-    std::erase_if(m_lastRead, [&](const auto& aPair) {
-      return aPair.second.m_at + m_options.m_readFor <= aNow;
+  if (m_lastPrefills.size() > m_options.m_maxEntries) {
+    std::erase_if(m_lastPrefills, [&](const auto& aPair) {
+      return aPair.second.m_assignedAt + m_options.m_partSaveTime <= aNow;
     });
   }
 }
--- a/src/ferrytray/routing/prefill_queues_test.cpp
+++ b/src/ferrytray/routing/prefill_queues_test.cpp
@@ -29,102 +29,103 @@
   routing::PrefillQueues m_queues;
   std::vector<routing::PrefillEngine> m_engines = Engines(4);
 
-  std::string Give(const char* aKey, std::uint32_t aTokens, std::uint32_t aOwn = 0)
+  std::string Assign(const char* aKey, std::uint32_t aTokens, std::uint32_t aUnsharedTokens = 0)
   {
-    return m_engines.at(m_queues.Give({ aKey, aTokens, aTokens, aOwn }, m_engines, m_now)->m_engine)
+    return m_engines
+      .at(m_queues.Assign({ aKey, aTokens, aTokens, aUnsharedTokens }, m_engines, m_now)->m_engine)
       .m_name;
   }
 };
 
-TEST(PrefillQueues, WithoutEnginesNothingIsChosen)
+TEST(PrefillQueues, ReturnsEmptyWithoutCandidates)
 {
-  CHECK_FALSE(m_queues.Give({ "k", 1, 1, 0 }, {}, m_now).has_value());
+  CHECK_FALSE(m_queues.Assign({ "k", 1, 1, 0 }, {}, m_now).has_value());
 }
 
-TEST(PrefillQueues, WhatAnEngineWasGivenIsWaitedForAndWearsOff)
+TEST(PrefillQueues, AssignedPromptsAddToTheWaitUntilTheyArePrefilled)
 {
-  const std::string engine = Give("k", 8000);
+  const std::string engine = Assign("k", 8000);
   CHECK(m_queues.WaitAt(engine, m_now) == 200ms);
   CHECK(m_queues.WaitAt(engine, m_now + 150ms) == 50ms);
   CHECK(m_queues.WaitAt(engine, m_now + 1s) == 0ms);
 }
 
-TEST(PrefillQueues, APromptGoesToItsHomeWhileThatIsNotBusier)
+TEST(PrefillQueues, PrefersAnIdleHome)
 {
-  const std::string home = Give("k", 800);
+  const std::string home = Assign("k", 800);
   m_now += 5s;
-  STRCMP_EQUAL(home.c_str(), Give("k", 800).c_str());
+  STRCMP_EQUAL(home.c_str(), Assign("k", 800).c_str());
 }
 
-TEST(PrefillQueues, OneThatNeedsThePartAnotherHasNearlyReadGoesThere)
+TEST(PrefillQueues, PrefersTheEngineThatIsPrefillingTheSharedPart)
 {
-  const std::string first = Give("k", 16'000, 4'000);
+  const std::string first = Assign("k", 16'000, 4'000);
   m_now += 250ms;
-  STRCMP_EQUAL(first.c_str(), Give("k", 16'000, 4'000).c_str());
+  STRCMP_EQUAL(first.c_str(), Assign("k", 16'000, 4'000).c_str());
   // It waits for what is left of the first one, and reads its own part only.
   CHECK(m_queues.WaitAt(first, m_now) == 250ms);
 }
 
-TEST(PrefillQueues, WhenItsReaderIsTooBusyItGoesElsewhereAndKnowsWhoHoldsThePart)
+TEST(PrefillQueues, ReportsTheHolderWhenThePrefillingEngineIsTooBusy)
 {
-  const std::string first = Give("k", 16'000, 4'000);
-  const auto choice = m_queues.Give({ "k", 16'000, 16'000, 4'000 }, m_engines, m_now);
+  const std::string first = Assign("k", 16'000, 4'000);
+  const auto choice = m_queues.Assign({ "k", 16'000, 16'000, 4'000 }, m_engines, m_now);
   CHECK(m_engines[choice->m_engine].m_name != first);
   CHECK(choice->m_free);
   STRCMP_EQUAL(first.c_str(), choice->m_holder.c_str());
 }
 
-TEST(PrefillQueues, TheRateFollowsWhatIsSeen)
+TEST(PrefillQueues, PrefillRateFollowsObservations)
 {
   for (int i = 0; i < 1000; ++i) {
-    m_queues.OnRead(16'000, 100ms);
+    m_queues.OnPrefilled(16'000, 100ms);
   }
-  const std::string engine = Give("k", 16'000);
+  const std::string engine = Assign("k", 16'000);
   CHECK(m_queues.WaitAt(engine, m_now) < 102ms);
 }
 
-TEST(PrefillQueues, AQueueIsTakenToBeBounded)
+TEST(PrefillQueues, EstimatedQueueIsBounded)
 {
   m_engines = Engines(1);
   for (int i = 0; i < 100; ++i) {
-    Give(std::to_string(i).c_str(), 40'000);
+    Assign(std::to_string(i).c_str(), 40'000);
   }
   CHECK(m_queues.WaitAt("e0", m_now) <= 3s);
 }
 
 // Load: answers are long, so engines are full of prompts that have been read.
-TEST(PrefillQueues, AnEngineWhoseMemoryIsTakenIsPassedOverForOneThatReads)
+TEST(PrefillQueues, AvoidsAnEngineWhoseMemoryIsFull)
 {
   m_engines = { { "full", 9'000, 10'000 }, { "reads", 1'000, 10'000 } };
   for (const char* key : { "1", "2", "3" }) {
-    STRCMP_EQUAL("reads", Give(key, 2'000).c_str());
+    STRCMP_EQUAL("reads", Assign(key, 2'000).c_str());
   }
 }
 
-TEST(PrefillQueues, WhatWasGivenIsKnownUntilHostsTellOfIt)
+TEST(PrefillQueues, AssignedTokensCountUntilHostsReportThem)
 {
-  const std::string first = Give("k", 4'000);
+  const std::string first = Assign("k", 4'000);
   m_now += 100ms;
-  LONGS_EQUAL(4'000, m_queues.GivenTokens(first, m_now));
-  LONGS_EQUAL(0, m_queues.GivenTokens(first, m_now + 350ms));
+  LONGS_EQUAL(4'000, m_queues.UnreportedTokens(first, m_now));
+  LONGS_EQUAL(0, m_queues.UnreportedTokens(first, m_now + 350ms));
 }
 
 // Fault: a prompt that hosts know of already left an entry behind that was forgotten twice.
-TEST(PrefillQueues, APromptThatHostsKnowOfAlreadyLeavesNothingToForget)
+TEST(PrefillQueues, FullyReportedPromptLeavesNoAssignmentToExpire)
 {
   m_engines = Engines(1);
-  for (const std::uint32_t untold : { 0U, 100U, 0U, 0U }) {
-    m_queues.Give({ "k", untold, 400, 400 }, m_engines, m_now);
+  for (const std::uint32_t unreported : { 0U, 100U, 0U, 0U }) {
+    m_queues.Assign({ "k", unreported, 400, 400 }, m_engines, m_now);
     m_now += 10ms;
   }
-  LONGS_EQUAL(100, m_queues.GivenTokens("e0", m_now));
-  LONGS_EQUAL(0, m_queues.GivenTokens("e0", m_now + 1s));
+  LONGS_EQUAL(100, m_queues.UnreportedTokens("e0", m_now));
+  LONGS_EQUAL(0, m_queues.UnreportedTokens("e0", m_now + 1s));
 }
 
 // Load: 42 long prompts a second for 27 engines, each read for 0.25 s on the mean (spread like a
 // log-normal): engines read for 0.4 of the time. Given out by hash alone one in ten waits for over
 // 0.3 s, by the queues one in a hundred for over 0.08 s.
-TEST(PrefillQueues, LongPromptsHardlyWaitWhereEnginesReadForLessThanHalfOfTheTime)
+TEST(PrefillQueues, LongPromptsRarelyWaitAtModerateLoad)
 {
   m_engines = Engines(27);
   std::mt19937_64 random(7);
@@ -137,7 +138,8 @@
     m_now += base::FromSeconds(gap(random));
     const auto size = static_cast<std::uint32_t>(tokens(random));
     const std::string key = std::to_string(random() % 2'000);
-    const std::size_t engine = m_queues.Give({ key, size, size, size }, m_engines, m_now)->m_engine;
+    const std::size_t engine =
+      m_queues.Assign({ key, size, size, size }, m_engines, m_now)->m_engine;
     byQueue.push_back(m_queues.WaitAt(m_engines[engine].m_name, m_now) -
                       base::FromSeconds(size / 40'000.0));
     base::TimePoint& hashed = freeAt[std::hash<std::string>{}(key) % freeAt.size()];
--- a/src/ferrytray/routing/keep.cpp
+++ b/src/ferrytray/routing/retention.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/routing/keep.hpp"
+#include "ferrytray/routing/retention.hpp"
 
 #include <algorithm> // for clamp, max, min
 #include <cmath>     // for log2, exp2
@@ -19,26 +19,26 @@
 }
 
 // One return and one loss that were never seen keep an unknown account in the middle.
-constexpr double kPrior = 1.0 / ReturnGaps::kBuckets;
+constexpr double kPrior = 1.0 / ReturnHistogram::kBuckets;
 
 } // namespace
 
-std::size_t ReturnGaps::BucketOf(base::Duration aGap)
+std::size_t ReturnHistogram::BucketOf(base::Duration aGap)
 {
   const double seconds = std::max(1.0, base::Seconds(aGap));
   return std::min(kBuckets - 1, static_cast<std::size_t>(std::log2(seconds)));
 }
 
-void ReturnGaps::OnReturn(base::Duration aGap)
+void ReturnHistogram::OnReturn(base::Duration aGap)
 {
   for (double& count : m_returns) {
     count *= kDecay;
   }
-  m_gone *= kDecay;
+  m_notReturned *= kDecay;
   m_returns[BucketOf(aGap)] += 1;
 }
 
-double ReturnGaps::CountAfter(std::size_t aBucket, double aFrom) const
+double ReturnHistogram::CountAfter(std::size_t aBucket, double aFrom) const
 {
   const double start = BucketStart(aBucket);
   const double share =
@@ -46,7 +46,7 @@
   return (m_returns[aBucket] + kPrior) * share;
 }
 
-double ReturnGaps::ReturnChance(base::Duration aIdle, base::Duration aHorizon) const
+double ReturnHistogram::ReturnProbability(base::Duration aIdle, base::Duration aHorizon) const
 {
   const double from = base::Seconds(aIdle);
   const double to = from + base::Seconds(aHorizon);
@@ -56,50 +56,50 @@
     within += CountAfter(i, from) - CountAfter(i, to);
     later += CountAfter(i, from);
   }
-  return within / (later + m_gone + 1);
+  return within / (later + m_notReturned + 1);
 }
 
-double ReturnGaps::ReturnRate(base::Duration aIdle) const
+double ReturnHistogram::ReturnRate(base::Duration aIdle) const
 {
   const double from = base::Seconds(aIdle);
   double later = 0;
   for (std::size_t i = 0; i < kBuckets; ++i) {
     later += CountAfter(i, from);
   }
-  double waiting = later + m_gone + 1;
+  double waiting = later + m_notReturned + 1;
   double returned = 0;
-  double heldTime = 0;
+  double storedTime = 0;
   double best = 0;
   double at = from;
   for (std::size_t i = BucketOf(aIdle); i < kBuckets; ++i) {
     const double count = CountAfter(i, from);
     const double end = BucketEnd(i);
-    heldTime += (end - at) * (waiting - count / 2);
+    storedTime += (end - at) * (waiting - count / 2);
     waiting -= count;
     returned += count;
-    best = std::max(best, returned / heldTime);
+    best = std::max(best, returned / storedTime);
     at = end;
   }
   return best;
 }
 
-double KeepValue(const KeepCandidate& aContext, const ReturnGaps& aGaps)
+double RetentionValue(const RetentionCandidate& aContext, const ReturnHistogram& aReturns)
 {
-  return aContext.m_recomputeSeconds * aGaps.ReturnRate(aContext.m_idle) /
+  return aContext.m_recomputeSeconds * aReturns.ReturnRate(aContext.m_idle) /
          std::max(1.0, aContext.m_bytes);
 }
 
-bool ShouldExport(const KeepCandidate& aContext,
-                  const ReturnGaps& aGaps,
+bool ShouldExport(const RetentionCandidate& aContext,
+                  const ReturnHistogram& aReturns,
                   const StorePressure& aStore,
-                  const KeepOptions& aOptions)
+                  const RetentionOptions& aOptions)
 {
-  if (aStore.m_importQueue > aOptions.m_yieldTo) {
+  if (aStore.m_importQueue > aOptions.m_maxImportQueue) {
     return false;
   }
-  const double value = KeepValue(aContext, aGaps);
+  const double value = RetentionValue(aContext, aReturns);
   const bool fits = aStore.m_freeBytes >= aContext.m_bytes;
-  return value > aOptions.m_leastValue && (fits || value > aStore.m_lowestValue);
+  return value > aOptions.m_minValue && (fits || value > aStore.m_lowestValue);
 }
 
 } // namespace ferrytray::routing
--- a/src/ferrytray/routing/routing_test.cpp
+++ b/src/ferrytray/routing/routing_test.cpp
@@ -1,6 +1,6 @@
 #include "ferrytray/routing/choose.hpp"
-#include "ferrytray/routing/keep.hpp"
 #include "ferrytray/routing/rendezvous.hpp"
+#include "ferrytray/routing/retention.hpp"
 
 #include <algorithm> // for find
 
@@ -16,29 +16,29 @@
 
 namespace {
 
-const RequestShape kLong{ 25600, 100, 256, 1e6 };
-const routing::CostWeights kTimeOnly{ 1, 0, 0 };
+const RequestShape kLongRequest{ 25600, 100, 256, 1e6 };
+const routing::CostWeights kFirstTokenOnly{ 1, 0, 0 };
 
-WorkerView Idle()
+WorkerView IdleWorker()
 {
   WorkerView worker;
   worker.m_tokensPerSecond = 10000;
   return worker;
 }
 
-StoreView Store(std::uint32_t aBlocks, double aBytesPerSecond)
+StoreView StoreWithBlocks(std::uint32_t aBlocks, double aBytesPerSecond)
 {
   return { aBlocks, 0s, aBytesPerSecond, 1ms };
 }
 
 /// The naive twin: tries every number of blocks and writes the formula out anew.
-double NaiveBestFirstToken(const RequestShape& aRequest,
-                           const WorkerView& aWorker,
-                           const StoreView& aStore)
+double BruteForceFirstToken(const RequestShape& aRequest,
+                            const WorkerView& aWorker,
+                            const StoreView& aStore)
 {
   const double reported =
     base::Seconds(aWorker.m_reportedWait) - base::Seconds(aWorker.m_reportAge);
-  const double wait = std::max(0.0, reported) + base::Seconds(aWorker.m_sentSince);
+  const double wait = std::max(0.0, reported) + base::Seconds(aWorker.m_sentSinceReport);
   double best = 1e18;
   const std::uint32_t cached = std::min(aWorker.m_cachedBlocks, aRequest.m_blocks);
   for (std::uint32_t upTo = cached;
@@ -46,7 +46,7 @@
        ++upTo) {
     const double import =
       upTo == cached ? 0
-                     : base::Seconds(aStore.m_linkQueue + aStore.m_path) +
+                     : base::Seconds(aStore.m_linkQueue + aStore.m_roundTrip) +
                          (upTo - cached) * aRequest.m_bytesPerBlock / aStore.m_bytesPerSecond;
     const double compute =
       (aRequest.m_promptTokens - upTo * aRequest.m_tokensPerBlock) / aWorker.m_tokensPerSecond;
@@ -59,83 +59,93 @@
 
 TEST_GROUP(Estimate){};
 
-TEST(Estimate, AFastLinkRestoresAndASlowOneRecomputes)
+TEST(Estimate, RestoresOverAFastLinkAndRecomputesOverASlowOne)
 {
-  const auto fast = routing::CheapestPlan(kLong, Idle(), Store(100, 1e9), kTimeOnly, 10s);
+  const auto fast = routing::CheapestPlan(
+    kLongRequest, IdleWorker(), StoreWithBlocks(100, 1e9), kFirstTokenOnly, 10s);
   LONGS_EQUAL(100, fast->m_restoreBlocks);
   LONGS_EQUAL(0, fast->m_recomputeTokens);
-  const auto slow = routing::CheapestPlan(kLong, Idle(), Store(100, 1e6), kTimeOnly, 10s);
+  const auto slow = routing::CheapestPlan(
+    kLongRequest, IdleWorker(), StoreWithBlocks(100, 1e6), kFirstTokenOnly, 10s);
   LONGS_EQUAL(0, slow->m_restoreBlocks);
   LONGS_EQUAL(25600, slow->m_recomputeTokens);
 }
 
-TEST(Estimate, AQueueHidesPartOfAnImport)
+TEST(Estimate, ImportsBlocksWhileTheRequestIsQueued)
 {
-  WorkerView busy = Idle();
+  WorkerView busy = IdleWorker();
   busy.m_reportedWait = 1s;
   // 30 blocks take a second on this link, and recomputing a block is faster than importing it.
-  const auto plan = routing::CheapestPlan(kLong, busy, Store(100, 3e7), kTimeOnly, 10s);
+  const auto plan =
+    routing::CheapestPlan(kLongRequest, busy, StoreWithBlocks(100, 3e7), kFirstTokenOnly, 10s);
   LONGS_EQUAL(29, plan->m_restoreBlocks);
 }
 
-TEST(Estimate, WhatTheWorkerHasIsNotImportedAgain)
+TEST(Estimate, DoesNotImportCachedBlocks)
 {
-  WorkerView warm = Idle();
+  WorkerView warm = IdleWorker();
   warm.m_cachedBlocks = 60;
-  const auto plan = routing::CheapestPlan(kLong, warm, Store(100, 1e9), kTimeOnly, 10s);
+  const auto plan =
+    routing::CheapestPlan(kLongRequest, warm, StoreWithBlocks(100, 1e9), kFirstTokenOnly, 10s);
   LONGS_EQUAL(40, plan->m_restoreBlocks);
 }
 
-TEST(Estimate, ARecomputeWeightTurnsItTowardsTheStore)
+TEST(Estimate, RecomputeWeightFavorsRestoring)
 {
-  const StoreView slow = Store(100, 3.5e7);
-  LONGS_EQUAL(0, routing::CheapestPlan(kLong, Idle(), slow, { 1, 0, 0 }, 10s)->m_restoreBlocks);
-  LONGS_EQUAL(100, routing::CheapestPlan(kLong, Idle(), slow, { 1, 2, 0 }, 10s)->m_restoreBlocks);
+  const StoreView slow = StoreWithBlocks(100, 3.5e7);
+  LONGS_EQUAL(
+    0, routing::CheapestPlan(kLongRequest, IdleWorker(), slow, { 1, 0, 0 }, 10s)->m_restoreBlocks);
+  LONGS_EQUAL(
+    100,
+    routing::CheapestPlan(kLongRequest, IdleWorker(), slow, { 1, 2, 0 }, 10s)->m_restoreBlocks);
 }
 
-TEST(Estimate, ATargetBoundsWhatARecomputeWeightMayCost)
+TEST(Estimate, FirstTokenTargetLimitsTheEffectOfTheRecomputeWeight)
 {
   // A block takes 28.6 ms on this link and 25.6 ms to compute: the weight alone restores all.
-  const StoreView slow = Store(100, 3.5e7);
-  const auto patient = routing::CheapestPlan(kLong, Idle(), slow, { 1, 0.3, 0, 0 }, 10s);
+  const StoreView slow = StoreWithBlocks(100, 3.5e7);
+  const auto patient =
+    routing::CheapestPlan(kLongRequest, IdleWorker(), slow, { 1, 0.3, 0, 0 }, 10s);
   CHECK(base::Seconds(patient->m_firstToken) > 2.8);
-  const auto bounded = routing::CheapestPlan(kLong, Idle(), slow, { 1, 0.3, 0, 2.7 }, 10s);
+  const auto bounded =
+    routing::CheapestPlan(kLongRequest, IdleWorker(), slow, { 1, 0.3, 0, 2.7 }, 10s);
   CHECK(bounded->m_restoreBlocks > 0);
   CHECK(base::Seconds(bounded->m_firstToken) <= 2.7);
 }
 
-TEST(Estimate, OldReportsAreWorkedOffAndOwnSendsAreAdded)
+TEST(Estimate, QueueWaitSubtractsReportAgeAndAddsSentWork)
 {
-  WorkerView worker = Idle();
+  WorkerView worker = IdleWorker();
   worker.m_reportedWait = 4s;
   worker.m_reportAge = 1s;
-  worker.m_sentSince = 500ms;
+  worker.m_sentSinceReport = 500ms;
   CHECK(routing::QueueWait(worker, 10s) == 3500ms);
   CHECK(routing::QueueWait(worker, 500ms) == 500ms);
 }
 
-TEST(Estimate, WithoutReportsOwnUnansweredWorkStillCounts)
+TEST(Estimate, SentWorkCountsWhenTheReportIsTooOld)
 {
-  WorkerView blind = Idle();
+  WorkerView blind = IdleWorker();
   blind.m_reportAge = 1h;
-  blind.m_sentSince = 2s;
+  blind.m_sentSinceReport = 2s;
   CHECK(routing::QueueWait(blind, 10s) == 2s);
 }
 
-TEST(Estimate, AgreesWithTheNaiveTwin)
+TEST(Estimate, MatchesBruteForceSearch)
 {
   const bool holds = rc::check("plan", [] {
     const RequestShape request{ 256 * 64 + 100, 64, 256, 1e6 };
-    WorkerView worker = Idle();
+    WorkerView worker = IdleWorker();
     worker.m_tokensPerSecond = *rc::gen::inRange(1000, 100000);
     worker.m_cachedBlocks = *rc::gen::inRange(0U, 65U);
     worker.m_reportedWait = std::chrono::milliseconds(*rc::gen::inRange(0, 5000));
     worker.m_reportAge = std::chrono::milliseconds(*rc::gen::inRange(0, 5000));
-    worker.m_sentSince = std::chrono::milliseconds(*rc::gen::inRange(0, 5000));
-    StoreView store = Store(*rc::gen::inRange(0U, 80U), *rc::gen::inRange(1000000, 1000000000));
+    worker.m_sentSinceReport = std::chrono::milliseconds(*rc::gen::inRange(0, 5000));
+    StoreView store =
+      StoreWithBlocks(*rc::gen::inRange(0U, 80U), *rc::gen::inRange(1000000, 1000000000));
     store.m_linkQueue = std::chrono::milliseconds(*rc::gen::inRange(0, 3000));
-    const auto plan = routing::CheapestPlan(request, worker, store, kTimeOnly, 10s);
-    const double naive = NaiveBestFirstToken(request, worker, store);
+    const auto plan = routing::CheapestPlan(request, worker, store, kFirstTokenOnly, 10s);
+    const double naive = BruteForceFirstToken(request, worker, store);
     // The break point is rounded down to a whole block, which can cost up to one block's time.
     const double oneBlock = std::max(256 / worker.m_tokensPerSecond, 1e6 / store.m_bytesPerSecond);
     RC_ASSERT(base::Seconds(plan->m_firstToken) >= naive - 1e-5);
@@ -144,64 +154,65 @@
   CHECK(holds);
 }
 
-TEST_GROUP(Choose)
+TEST_GROUP(ChooseWorker)
 {
-  std::vector<WorkerView> m_workers{ 20, Idle() };
+  std::vector<WorkerView> m_workers{ 20, IdleWorker() };
   std::vector<StoreView> m_stores{ 20, StoreView{} };
   routing::ChooseOptions m_options;
 };
 
-TEST(Choose, TakesTheShortestQueueWhenNothingIsCached)
+TEST(ChooseWorker, TakesTheShortestQueueWhenNothingIsCached)
 {
   for (auto& worker : m_workers) {
     worker.m_reportedWait = 2s;
   }
   m_workers[13].m_reportedWait = 1s;
-  LONGS_EQUAL(13, routing::Choose(kLong, m_workers, m_stores, m_options, 1)->m_worker);
+  LONGS_EQUAL(13, routing::ChooseWorker(kLongRequest, m_workers, m_stores, m_options, 1)->m_worker);
 }
 
-TEST(Choose, WeighsACacheAgainstAQueue)
+TEST(ChooseWorker, WeighsCachedBlocksAgainstQueueWait)
 {
   m_workers[4].m_cachedBlocks = 100;
   m_workers[4].m_reportedWait = 1s;
-  LONGS_EQUAL(4, routing::Choose(kLong, m_workers, m_stores, m_options, 1)->m_worker);
+  LONGS_EQUAL(4, routing::ChooseWorker(kLongRequest, m_workers, m_stores, m_options, 1)->m_worker);
   m_workers[4].m_reportedWait = 10s;
-  CHECK(routing::Choose(kLong, m_workers, m_stores, m_options, 1)->m_worker != 4);
+  CHECK(routing::ChooseWorker(kLongRequest, m_workers, m_stores, m_options, 1)->m_worker != 4);
 }
 
-TEST(Choose, NeverPicksAWorkerThatLeavesAndSaysSoWhenNoneIsLeft)
+TEST(ChooseWorker, SkipsUnusableWorkersAndReturnsEmptyWhenNoneIsUsable)
 {
   for (std::size_t i = 0; i < m_workers.size(); ++i) {
     m_workers[i].m_usable = i == 19;
     m_workers[i].m_reportAge = 5s;
   }
   for (std::uint64_t random = 0; random < 50; ++random) {
-    LONGS_EQUAL(19, routing::Choose(kLong, m_workers, m_stores, m_options, random)->m_worker);
+    LONGS_EQUAL(
+      19, routing::ChooseWorker(kLongRequest, m_workers, m_stores, m_options, random)->m_worker);
   }
   m_workers[19].m_usable = false;
-  CHECK_FALSE(routing::Choose(kLong, m_workers, m_stores, m_options, 1).has_value());
+  CHECK_FALSE(routing::ChooseWorker(kLongRequest, m_workers, m_stores, m_options, 1).has_value());
 }
 
-TEST(Choose, GatesWithTheSameStaleReportsDoNotHerd)
+TEST(ChooseWorker, StaleReportsDoNotCauseHerding)
 {
   for (auto& worker : m_workers) {
     worker.m_reportedWait = 9s;
     worker.m_reportAge = 2s;
   }
   m_workers[10].m_reportedWait = 1s;
-  int herd = 0;
+  int shortestQueueChoices = 0;
   for (std::uint64_t gate = 0; gate < 200; ++gate) {
-    const auto choice = routing::Choose(
-      kLong, m_workers, m_stores, m_options, base::Hash64("g", std::to_string(gate)));
-    herd += choice->m_worker == 10 ? 1 : 0;
+    const auto choice = routing::ChooseWorker(
+      kLongRequest, m_workers, m_stores, m_options, base::Hash64("g", std::to_string(gate)));
+    shortestQueueChoices += choice->m_worker == 10 ? 1 : 0;
   }
-  CHECK(herd > 0);
-  CHECK(herd < 80);
+  CHECK(shortestQueueChoices > 0);
+  CHECK(shortestQueueChoices < 80);
 }
 
 TEST_GROUP(Rendezvous){};
 
-TEST(Rendezvous, OnlyALostHostsShareMoves)
+TEST(Rendezvous, RemovingAHostMovesOnlyItsKeys)
 {
   std::vector<std::string> names;
   for (int i = 0; i < 10; ++i) {
@@ -218,37 +229,39 @@
   CHECK(moved > 50 && moved < 150);
 }
 
-TEST_GROUP(Keep){};
+TEST_GROUP(Retention){};
 
-TEST(Keep, LearnsWhenAContextComesBack)
+TEST(Retention, LearnsReturnIntervals)
 {
-  routing::ReturnGaps gaps;
+  routing::ReturnHistogram returns;
   for (int i = 0; i < 200; ++i) {
-    gaps.OnReturn(1h);
+    returns.OnReturn(1h);
   }
-  CHECK(gaps.ReturnChance(0s, 2h) > 0.7);
-  CHECK(gaps.ReturnChance(0s, 5min) < 0.1);
-  CHECK(gaps.ReturnChance(3h, 2h) < 0.2);
+  CHECK(returns.ReturnProbability(0s, 2h) > 0.7);
+  CHECK(returns.ReturnProbability(0s, 5min) < 0.1);
+  CHECK(returns.ReturnProbability(3h, 2h) < 0.2);
 }
 
-TEST(Keep, PrefersWhatIsDearToRecomputeAndLikelyToReturn)
+TEST(Retention, PrefersExpensiveContextsThatAreLikelyToReturn)
 {
-  routing::ReturnGaps regular;
-  routing::ReturnGaps fleeting;
+  routing::ReturnHistogram regular;
+  routing::ReturnHistogram neverReturning;
   for (int i = 0; i < 100; ++i) {
     regular.OnReturn(10min);
-    fleeting.OnGone();
+    neverReturning.OnNotReturned();
   }
-  const routing::KeepCandidate context{ 1e8, 3, 1min };
-  CHECK(routing::KeepValue(context, regular) > 3 * routing::KeepValue(context, fleeting));
-  CHECK(routing::KeepValue({ 1e8, 6, 1min }, regular) > routing::KeepValue(context, regular));
+  const routing::RetentionCandidate context{ 1e8, 3, 1min };
+  CHECK(routing::RetentionValue(context, regular) >
+        3 * routing::RetentionValue(context, neverReturning));
+  CHECK(routing::RetentionValue({ 1e8, 6, 1min }, regular) >
+        routing::RetentionValue(context, regular));
 }
 
-TEST(Keep, ExportsYieldToImportsAndToWhatIsWorthMore)
+TEST(Retention, ExportYieldsToImportsAndToMoreValuableContexts)
 {
-  routing::ReturnGaps gaps;
-  const routing::KeepCandidate context{ 1e8, 3, 0s };
-  CHECK(routing::ShouldExport(context, gaps, { 1e9, 0, 0ms }, {}));
-  CHECK_FALSE(routing::ShouldExport(context, gaps, { 1e9, 0, 300ms }, {}));
-  CHECK_FALSE(routing::ShouldExport(context, gaps, { 0, 1, 0ms }, {}));
+  routing::ReturnHistogram returns;
+  const routing::RetentionCandidate context{ 1e8, 3, 0s };
+  CHECK(routing::ShouldExport(context, returns, { 1e9, 0, 0ms }, {}));
+  CHECK_FALSE(routing::ShouldExport(context, returns, { 1e9, 0, 300ms }, {}));
+  CHECK_FALSE(routing::ShouldExport(context, returns, { 0, 1, 0ms }, {}));
 }
--- a/tools/load_cost.cpp
+++ b/tools/load_cost.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib> // for malloc, free
 #include <new>     // for bad_alloc
 
-#include "ferrytray/routing/choose.hpp" // for Choose
+#include "ferrytray/routing/choose.hpp" // for ChooseWorker
 #include "load.hpp"
 
 namespace {
@@ -59,10 +59,10 @@
   const std::size_t before = g_allocations;
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kDecisions; ++i) {
-    workers[static_cast<std::size_t>(i) % aWorkers].m_sentSince =
+    workers[static_cast<std::size_t>(i) % aWorkers].m_sentSinceReport =
       std::chrono::microseconds(i % 1000);
-    sink +=
-      routing::Choose(request, workers, stores, {}, static_cast<std::uint64_t>(i))->m_plan.m_cost;
+    sink += routing::ChooseWorker(request, workers, stores, {}, static_cast<std::uint64_t>(i))
+              ->m_plan.m_cost;
   }
   const std::chrono::duration<double, std::micro> passed = std::chrono::steady_clock::now() - start;
   const std::size_t allocations = g_allocations - before;
--- a/tools/load_parts.cpp
+++ b/tools/load_parts.cpp
@@ -118,7 +118,7 @@
   routing::CacheHints hints(kBlocks);
   rows.push_back(Slope("cache hint, block", kBlocks, [&](std::size_t aItem) {
     const base::Digest128 block = Name(aItem);
-    hints.OnRun("w", { &block, 1 });
+    hints.OnRunCompleted("w", { &block, 1 });
   }));
   std::vector<std::string> workers;
   for (int i = 0; i < 93; ++i) {
