--- a/include/ferrytray/routing/cold_starts.hpp
+++ b/include/ferrytray/routing/cold_starts.hpp
@@ -66,11 +66,11 @@
   [[nodiscard]] bool IsCold(const std::string& aEngine, base::TimePoint aNow) const;
   /// @brief Whether the pause after the last request of that kind is over.
   [[nodiscard]] bool MaySend(const std::string& aEngine,
-                             ColdTrafficSource aUse,
+                             ColdTrafficSource aSource,
                              base::TimePoint aNow) const;
   /// @param aColdRate requests a second that the engine bears while cold, of all hosts together
   void OnSent(const std::string& aEngine,
-              ColdTrafficSource aUse,
+              ColdTrafficSource aSource,
               double aColdRate,
               base::TimePoint aNow);
   /// @brief Hosts that may send to one cold engine by their own choice.
--- a/src/ferrytray/routing/cold_starts.cpp
+++ b/src/ferrytray/routing/cold_starts.cpp
@@ -57,29 +57,29 @@
 }
 
 bool ColdStarts::MaySend(const std::string& aEngine,
-                         ColdTrafficSource aUse,
+                         ColdTrafficSource aSource,
                          base::TimePoint aNow) const
 {
   const auto found = m_engines.find(aEngine);
   if (found == m_engines.end()) {
     return true;
   }
-  return aNow >=
-         (aUse == ColdTrafficSource::Own ? found->second.m_nextOwn : found->second.m_nextAssigned);
+  return aNow >= (aSource == ColdTrafficSource::Own ? found->second.m_nextOwn
+                                                    : found->second.m_nextAssigned);
 }
 
 void ColdStarts::OnSent(const std::string& aEngine,
-                        ColdTrafficSource aUse,
+                        ColdTrafficSource aSource,
                         double aColdRate,
                         base::TimePoint aNow)
 {
   const double own =
     aColdRate * m_options.m_ownRateShare / static_cast<double>(m_options.m_sendersPerEngine);
   const double rate =
-    aUse == ColdTrafficSource::Own ? own : aColdRate * m_options.m_assignedRateShare;
+    aSource == ColdTrafficSource::Own ? own : aColdRate * m_options.m_assignedRateShare;
   const base::TimePoint next = aNow + base::FromSeconds(1.0 / std::max(rate, kMinRate));
   Entry& entry = m_engines[aEngine];
-  (aUse == ColdTrafficSource::Own ? entry.m_nextOwn : entry.m_nextAssigned) = next;
+  (aSource == ColdTrafficSource::Own ? entry.m_nextOwn : entry.m_nextAssigned) = next;
 }
 
 } // namespace ferrytray::routing
--- a/src/ferrytray/routing/estimate.cpp
+++ b/src/ferrytray/routing/estimate.cpp
@@ -38,11 +38,12 @@
   plan.m_firstToken = aWorker.m_roundTrip + ready + plan.m_engineTime;
   // Context that is kept somewhere and computed all the same is what the share recomputed counts.
   const std::uint32_t kept = std::max(cached, std::min(aStore.m_storedBlocks, aRequest.m_blocks));
-  const std::uint32_t wasted =
+  const std::uint32_t recomputedReusable =
     (kept - std::min(kept, cached + plan.m_restoreBlocks)) * aRequest.m_tokensPerBlock;
   plan.m_cost =
     aWeights.m_firstToken * PenalizeLateness(base::Seconds(plan.m_firstToken), aWeights) +
-    aWeights.m_recompute * wasted / aWorker.m_tokensPerSecond + aWeights.m_link * linkSeconds;
+    aWeights.m_recompute * recomputedReusable / aWorker.m_tokensPerSecond +
+    aWeights.m_link * linkSeconds;
   return plan;
 }
 
@@ -89,8 +90,8 @@
   const base::Duration reported = trusted ? aWorker.m_reportedWait : base::Duration::zero();
   // The queue in the report has been worked on since; what was sent since and has not been
   // answered is there still, however old the report is.
-  const base::Duration worked = std::max(aWorker.m_reportAge, aWorker.m_completedSinceReport);
-  const base::Duration left = std::max(reported - worked, base::Duration::zero());
+  const base::Duration processed = std::max(aWorker.m_reportAge, aWorker.m_completedSinceReport);
+  const base::Duration left = std::max(reported - processed, base::Duration::zero());
   return left + aWorker.m_sentSinceReport + aWorker.m_swapWait;
 }
 
@@ -110,12 +111,12 @@
   if (stored <= cached) {
     return best;
   }
-  const std::uint32_t hidden = BlocksImportedDuringWait(aRequest, aStore, wait);
-  const std::uint32_t inTime =
+  const std::uint32_t duringWait = BlocksImportedDuringWait(aRequest, aStore, wait);
+  const std::uint32_t withinTarget =
     BlocksImportedWithinTarget(aRequest, aWorker, aStore, aWeights, cached);
   for (const std::uint32_t upTo : std::array{ stored,
-                                              std::clamp(cached + hidden, cached, stored),
-                                              std::clamp(cached + inTime, cached, stored) }) {
+                                              std::clamp(cached + duringWait, cached, stored),
+                                              std::clamp(cached + withinTarget, cached, stored) }) {
     const Plan plan = PlanFor(upTo, aRequest, aWorker, aStore, aWeights, wait);
     if (plan.m_cost < best.m_cost) {
       best = plan;
--- a/src/ferrytray/routing/placement_test.cpp
+++ b/src/ferrytray/routing/placement_test.cpp
@@ -9,15 +9,15 @@
 
 TEST_GROUP(Placement)
 {
-  std::vector<PlacementCandidate> m_four{ { "a" }, { "b" }, { "c" }, { "d" } };
+  std::vector<PlacementCandidate> m_candidates{ { "a" }, { "b" }, { "c" }, { "d" } };
 };
 
 TEST(Placement, PrefersTheHomeUnlessItIsOverloaded)
 {
-  const auto first = routing::PlaceAtHome(m_four, "key", {});
+  const auto first = routing::PlaceAtHome(m_candidates, "key", {});
   LONGS_EQUAL(first->m_home, first->m_chosen);
-  m_four[first->m_home].m_work = 480;
-  const auto second = routing::PlaceAtHome(m_four, "key", {});
+  m_candidates[first->m_home].m_work = 480;
+  const auto second = routing::PlaceAtHome(m_candidates, "key", {});
   LONGS_EQUAL(first->m_home, second->m_home);
   CHECK(second->m_chosen != second->m_home);
 }
@@ -25,50 +25,50 @@
 TEST(Placement, UsesAvoidedEndpointsOnlyWhenAllAreAvoided)
 {
   for (std::size_t i = 0; i < 3; ++i) {
-    m_four[i].m_avoided = true;
+    m_candidates[i].m_avoided = true;
   }
   for (std::uint64_t random = 0; random < 20; ++random) {
-    LONGS_EQUAL(3, *routing::PlaceByTwoChoices(m_four, random));
+    LONGS_EQUAL(3, *routing::PlaceByTwoChoices(m_candidates, random));
   }
-  m_four[3].m_avoided = true;
-  CHECK(routing::PlaceByTwoChoices(m_four, 0).has_value());
+  m_candidates[3].m_avoided = true;
+  CHECK(routing::PlaceByTwoChoices(m_candidates, 0).has_value());
   CHECK_FALSE(routing::PlaceByTwoChoices({}, 0).has_value());
 }
 
 TEST(Placement, PicksTheLessLoadedOfTwoCandidates)
 {
-  m_four[0].m_work = 5;
+  m_candidates[0].m_work = 5;
   constexpr std::uint64_t kFirstAndSecond = std::uint64_t{ 1 } << 32U;
-  LONGS_EQUAL(1, *routing::PlaceByTwoChoices(m_four, kFirstAndSecond));
+  LONGS_EQUAL(1, *routing::PlaceByTwoChoices(m_candidates, kFirstAndSecond));
 }
 
 TEST(Placement, OverloadedHomeFallsBackToTheLeastLoadedOfItsHomes)
 {
-  const auto first = routing::PlaceAtHome(m_four, "key", {});
-  m_four[first->m_home].m_work = 960;
+  const auto first = routing::PlaceAtHome(m_candidates, "key", {});
+  m_candidates[first->m_home].m_work = 960;
   std::size_t least = first->m_home;
-  for (std::size_t i = 0; i < m_four.size(); ++i) {
+  for (std::size_t i = 0; i < m_candidates.size(); ++i) {
     if (i != first->m_home) {
-      m_four[i].m_work = static_cast<routing::Work>(24 * (10 + i));
+      m_candidates[i].m_work = static_cast<routing::Work>(24 * (10 + i));
       least = least == first->m_home ? i : least;
     }
   }
-  const auto next = routing::PlaceAtHome(m_four, "key", {});
+  const auto next = routing::PlaceAtHome(m_candidates, "key", {});
   LONGS_EQUAL(least, next->m_chosen);
   LONGS_EQUAL(first->m_home, next->m_home);
 }
 
 TEST(Placement, FullHomeFallsBackToAHomeWithFreeMemory)
 {
-  const auto home = routing::PlaceAtHome(m_four, "key", {})->m_home;
-  for (PlacementCandidate& candidate : m_four) {
+  const auto home = routing::PlaceAtHome(m_candidates, "key", {})->m_home;
+  for (PlacementCandidate& candidate : m_candidates) {
     candidate.m_work = 500;
     candidate.m_full = true;
   }
-  const std::size_t withFreeMemory = (home + 1) % m_four.size();
-  m_four[withFreeMemory].m_work = 490;
-  m_four[withFreeMemory].m_full = false;
-  LONGS_EQUAL(withFreeMemory, routing::PlaceAtHome(m_four, "key", {})->m_chosen);
+  const std::size_t withFreeMemory = (home + 1) % m_candidates.size();
+  m_candidates[withFreeMemory].m_work = 490;
+  m_candidates[withFreeMemory].m_full = false;
+  LONGS_EQUAL(withFreeMemory, routing::PlaceAtHome(m_candidates, "key", {})->m_chosen);
 }
 
 // Load: many hosts that decide alike on late reports. If each sent what its homes cannot take to
--- a/src/ferrytray/routing/prefill_queues.cpp
+++ b/src/ferrytray/routing/prefill_queues.cpp
@@ -29,9 +29,9 @@
   }
   const double fill =
     static_cast<double>(aEngine.m_heldTokens) / static_cast<double>(aEngine.m_memoryTokens);
-  const double taken =
+  const double penalty =
     std::max(0.0, fill - m_options.m_penaltyStartFill) / (1 - m_options.m_penaltyStartFill);
-  return wait + base::FromSeconds(taken * base::Seconds(m_options.m_fullMemoryPenalty));
+  return wait + base::FromSeconds(penalty * base::Seconds(m_options.m_fullMemoryPenalty));
 }
 
 std::optional<std::size_t> PrefillQueues::RecentPrefillEngine(const std::string& aKey,
@@ -62,14 +62,14 @@
     names.push_back(engine.m_name);
     costs.push_back(CostAt(engine, aNow));
   }
-  const auto least = std::min_element(costs.begin(), costs.end());
+  const auto lowest = std::min_element(costs.begin(), costs.end());
   PrefillChoice choice;
-  choice.m_engine = static_cast<std::size_t>(least - costs.begin());
+  choice.m_engine = static_cast<std::size_t>(lowest - costs.begin());
   std::uint32_t tokens = aJob.m_prefillTokens;
   if (const auto prefilling = RecentPrefillEngine(aJob.m_key, names, aNow)) {
     const std::uint32_t shared =
       aJob.m_prefillTokens - std::min(aJob.m_prefillTokens, aJob.m_unsharedTokens);
-    if (costs[*prefilling] <= *least + PrefillTime(shared)) {
+    if (costs[*prefilling] <= *lowest + PrefillTime(shared)) {
       choice.m_engine = *prefilling;
       tokens = aJob.m_unsharedTokens;
     } else {
@@ -78,7 +78,7 @@
   } else {
     const base::Digest128 key = base::HashWithSeed({}, aJob.m_key);
     const std::size_t home = RendezvousHomes(key, names, 1).front();
-    if (costs[home] <= *least + m_options.m_homeWaitTolerance) {
+    if (costs[home] <= *lowest + m_options.m_homeWaitTolerance) {
       choice.m_engine = home;
     }
   }
