--- a/src/ferrytray/blocks/chain.cpp
+++ b/src/ferrytray/blocks/chain.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-base::Digest128 SeedOf(const BlockScope& aScope)
+base::Digest128 ScopeSeed(const BlockScope& aScope)
 {
   // Hashed one after the other, so that no two different triples share a concatenation.
   base::Digest128 seed = base::HashWithSeed({}, aScope.m_account);
@@ -20,7 +20,7 @@
 {
   std::vector<base::Digest128> names;
   names.reserve(aPrompt.size() / aLayout.m_bytesPerBlock);
-  base::Digest128 previous = SeedOf(aScope);
+  base::Digest128 previous = ScopeSeed(aScope);
   while (aPrompt.size() >= aLayout.m_bytesPerBlock) {
     previous = base::HashWithSeed(previous, aPrompt.substr(0, aLayout.m_bytesPerBlock));
     names.push_back(previous);
--- a/src/ferrytray/blocks/chain_test.cpp
+++ b/src/ferrytray/blocks/chain_test.cpp
@@ -26,23 +26,23 @@
   LONGS_EQUAL(2, names.size());
 }
 
-TEST(Chain, EveryPartOfTheScopeChangesEveryName)
+TEST(Chain, EveryScopeFieldChangesEveryName)
 {
   const std::string prompt = Prompt(2048, 'x');
-  std::set<base::Digest128> all;
+  std::set<base::Digest128> uniqueNames;
   const blocks::BlockScope scopes[] = {
     { "a", "m", "1" }, { "b", "m", "1" }, { "a", "n", "1" },
     { "a", "m", "2" }, { "am", "", "1" }, { "", "am", "1" },
   };
   for (const auto& scope : scopes) {
     for (const auto& name : blocks::ChainBlocks(scope, prompt, {})) {
-      all.insert(name);
+      uniqueNames.insert(name);
     }
   }
-  LONGS_EQUAL(12, all.size());
+  LONGS_EQUAL(12, uniqueNames.size());
 }
 
-TEST(Chain, ALaterBlockDependsOnAnEarlierOne)
+TEST(Chain, LaterBlocksDependOnEarlierOnes)
 {
   const auto first =
     blocks::ChainBlocks({ "a", "m", "1" }, Prompt(1024, 'x') + Prompt(1024, 'z'), {});
@@ -51,13 +51,13 @@
   CHECK(first[1] != second[1]);
 }
 
-TEST(Chain, AnExtendedPromptKeepsItsPrefixNames)
+TEST(Chain, ExtendedPromptKeepsPrefixNames)
 {
   const bool holds =
-    rc::check("prefix names", [](const std::string& aHead, const std::string& aTail) {
+    rc::check("prefix names", [](const std::string& aPrefix, const std::string& aSuffix) {
       const blocks::BlockLayout layout{ 8, 2 };
-      const auto shorter = blocks::ChainBlocks({ "a", "m", "1" }, aHead, layout);
-      const auto longer = blocks::ChainBlocks({ "a", "m", "1" }, aHead + aTail, layout);
+      const auto shorter = blocks::ChainBlocks({ "a", "m", "1" }, aPrefix, layout);
+      const auto longer = blocks::ChainBlocks({ "a", "m", "1" }, aPrefix + aSuffix, layout);
       RC_ASSERT(shorter.size() <= longer.size());
       for (std::size_t i = 0; i < shorter.size(); ++i) {
         RC_ASSERT(shorter[i] == longer[i]);
