--- a/include/ferrytray/cache/change_history.hpp
+++ b/include/ferrytray/cache/change_history.hpp
@@ -21,13 +21,13 @@
   {
     m_changes.push_back(std::move(aChange));
     ++m_next;
-    if (m_changes.size() > kKept) {
+    if (m_changes.size() > kMaxChanges) {
       m_changes.pop_front();
     }
   }
 
   /// @brief The contents were replaced: nobody can go on from before.
-  void BeginSeries()
+  void StartSeries()
   {
     ++m_series;
     m_next = 0;
@@ -51,7 +51,7 @@
 
 private:
   /// A follower asks several times a second; a store changes some tens of times a second.
-  static constexpr std::size_t kKept = 512;
+  static constexpr std::size_t kMaxChanges = 512;
 
   std::uint64_t m_series = 1;
   std::uint64_t m_next = 0;
--- a/include/ferrytray/cache/contents_digest.hpp
+++ b/include/ferrytray/cache/contents_delta.hpp
@@ -19,7 +19,7 @@
 };
 
 /// @brief What one host tells another of a store that it follows.
-struct ContentsDigest
+struct ContentsDelta
 {
   std::string m_store;                       ///< IP:PORT
   std::uint64_t m_epoch = 0;                 ///< the store's
--- a/include/ferrytray/cache/part_planner.hpp
+++ b/include/ferrytray/cache/part_planner.hpp
@@ -22,7 +22,7 @@
 };
 
 /// @brief What becomes of a part, and why it is read again if it is.
-enum class PartFate : std::uint8_t
+enum class PartOutcome : std::uint8_t
 {
   Unshared,  ///< the request's own, or of a prompt with few shared tokens
   Fetched,   ///< a store has it
@@ -32,27 +32,27 @@
   NoContact, ///< what stores hold is not known well enough now
 };
 
-inline constexpr std::size_t kPartFates = 6;
+inline constexpr std::size_t kPartOutcomes = 6;
 
 /// @brief The word for it in logs.
-std::string_view ToString(PartFate aFate);
+std::string_view ToString(PartOutcome aOutcome);
 
 /// @brief Where one part may come from and go to; addresses (IP:PORT), empty for nowhere.
-struct PartMoves
+struct PartTransfers
 {
   std::string m_fetchFrom;
   std::string m_saveTo;
-  PartFate m_fate = PartFate::Unshared;
+  PartOutcome m_outcome = PartOutcome::Unshared;
 };
 
 /// @brief The moves of a prompt's parts, in their order.
 struct PartPlan
 {
-  std::vector<PartMoves> m_moves;
-  std::optional<std::int64_t> m_fetchUntil; ///< on the endpoints' clock (ms)
+  std::vector<PartTransfers> m_transfers;
+  std::optional<std::int64_t> m_fetchDeadline; ///< on the endpoints' clock (ms)
   [[nodiscard]] bool Empty() const;
-  /// @brief Tokens by fate, in the order of PartFate.
-  [[nodiscard]] std::array<std::uint64_t, kPartFates> Tokens(
+  /// @brief Tokens by fate, in the order of PartOutcome.
+  [[nodiscard]] std::array<std::uint64_t, kPartOutcomes> TokensByOutcome(
     std::span<const PlannedPart> aParts) const;
 };
 
@@ -63,7 +63,7 @@
 {
   /// With fewer shared tokens in all, a prompt is read in some milliseconds, less than its
   /// transfers wait (tokens).
-  std::uint32_t m_leastTokens = 512;
+  std::uint32_t m_minSharedTokens = 512;
 };
 
 /// @brief A prompt whose parts are to be placed.
@@ -73,7 +73,7 @@
   std::span<const PlannedPart> m_parts;
   std::string m_scope; ///< under which its parts are cached
   std::string m_home;  ///< another endpoint that may hold the parts (IP:PORT), or empty
-  base::Duration m_fetchWithin = std::chrono::seconds(2); ///< later parts are of no use
+  base::Duration m_fetchTimeout = std::chrono::seconds(2); ///< later parts are of no use
 };
 
 /// @brief Decides which parts a request fetches from stores and which it leaves in them. Pure.
@@ -95,7 +95,7 @@
   PartPlan Plan(const PlannedPrompt& aPrompt, Stores& aStores, base::TimePoint aNow) const;
 
 private:
-  static std::vector<std::string> Ranked(const std::string& aId, const Stores& aStores);
+  static std::vector<std::string> RankStores(const std::string& aId, const Stores& aStores);
 
   PlannerOptions m_options;
 };
--- a/include/ferrytray/cache/store_feed.hpp
+++ b/include/ferrytray/cache/store_feed.hpp
@@ -28,11 +28,11 @@
 };
 
 /// @brief What a store tells of its contents.
-struct StoreNews
+struct StoreEvents
 {
   std::uint64_t m_epoch = 0;                 ///< changes when the store restarts, empty
   std::uint64_t m_next = 0;                  ///< where the next news begin
-  bool m_lost = false;                       ///< some news between are no longer kept
+  bool m_eventsLost = false;                 ///< some news between are no longer kept
   std::optional<std::int64_t> m_clockMillis; ///< the endpoints' common clock
   std::vector<StoreChange> m_changes;
 };
@@ -41,13 +41,13 @@
 class StoreFeed
 {
 public:
-  using Done = std::function<void(base::Result<StoreNews>)>;
+  using Done = std::function<void(base::Result<StoreEvents>)>;
   virtual ~StoreFeed() = default;
   /// @param aWait how long the store may wait for news
-  virtual void ReadNews(const std::string& aAddress,
-                        std::uint64_t aSince,
-                        base::Duration aWait,
-                        Done aDone) = 0;
+  virtual void ReadEvents(const std::string& aAddress,
+                          std::uint64_t aSince,
+                          base::Duration aWait,
+                          Done aDone) = 0;
   /// @brief Reads the whole contents. It holds the store up, so it is for lost news only.
   virtual void ReadAll(const std::string& aAddress, Done aDone) = 0;
 };
--- a/include/ferrytray/cache/store_follower.hpp
+++ b/include/ferrytray/cache/store_follower.hpp
@@ -13,13 +13,13 @@
 struct FollowerOptions
 {
   /// What is heard counts from when it was asked for, so it must not be held long
-  /// (ContentsOptions::m_freshFor).
-  base::Duration m_wait = std::chrono::milliseconds(500);
+  /// (ContentsOptions::m_maxAge).
+  base::Duration m_longPollWait = std::chrono::milliseconds(500);
   /// Between two reads, so that news come in batches.
-  base::Duration m_pause = std::chrono::milliseconds(200);
-  base::Duration m_retry = std::chrono::milliseconds(400);
+  base::Duration m_pauseBetweenReads = std::chrono::milliseconds(200);
+  base::Duration m_retryDelay = std::chrono::milliseconds(400);
   /// A store serves a few readers at once and refuses the others, which costs the operators, too.
-  base::Duration m_afterRefusal = std::chrono::seconds(10);
+  base::Duration m_refusalDelay = std::chrono::seconds(10);
 };
 
 /// @brief Follows the contents of one store.
@@ -37,19 +37,19 @@
 private:
   void Read();
   void ReadAll();
-  void OnNews(const base::Result<StoreNews>& aNews);
-  void OnAll(const base::Result<StoreNews>& aNews);
-  void Away(const base::Failure& aFailure);
-  void Later(base::Duration aDelay);
+  void OnEvents(const base::Result<StoreEvents>& aEvents);
+  void OnFullContents(const base::Result<StoreEvents>& aEvents);
+  void OnReadFailed(const base::Failure& aFailure);
+  void ScheduleRead(base::Duration aDelay);
 
   net::Loop& m_loop;
   StoreFeed& m_feed;
   Stores& m_stores;
   std::string m_address;
   FollowerOptions m_options;
-  base::TimePoint m_askedAt{};
+  base::TimePoint m_requestedAt{};
   bool m_stopped = false;
-  bool m_away = false;
+  bool m_unreachable = false;
   net::TimerHandle m_timer;
 };
 
--- a/include/ferrytray/peers/messages.hpp
+++ b/include/ferrytray/peers/messages.hpp
@@ -6,7 +6,7 @@
 #include <vector>      // for vector
 
 #include "ferrytray/base/error.hpp"             // for Result
-#include "ferrytray/cache/contents_digest.hpp"  // for ContentsCursor, ContentsDigest
+#include "ferrytray/cache/contents_delta.hpp"   // for ContentsCursor, ContentsDelta
 #include "ferrytray/peers/load_board.hpp"       // for EndpointLoads, LoadScope
 #include "ferrytray/peers/reload_board.hpp"     // for ReloadNotices
 #include "ferrytray/peers/replaced_board.hpp"   // for ReplacedNotices
@@ -39,7 +39,7 @@
 {
   std::uint64_t m_incarnation = 0; ///< of the host that answers
   std::vector<store::TopicNews> m_topics;
-  std::vector<cache::ContentsDigest> m_stores;
+  std::vector<cache::ContentsDelta> m_stores;
   /// To a host that tells its own load: all others'. To one that tells a summary: this host's.
   EndpointLoads m_loads;
   ReloadNotices m_reloads; ///< that it knows of
--- a/include/ferrytray/peers/news_exchange.hpp
+++ b/include/ferrytray/peers/news_exchange.hpp
@@ -33,7 +33,7 @@
   std::uint32_t m_capacity = 0; ///< of its processor and link; only compared
   std::string m_topic;          ///< keyed; each host's record is its Peer
   RosterOptions m_roster;
-  /// Between two questions; what is heard is as old at most (ContentsOptions::m_freshFor).
+  /// Between two questions; what is heard is as old at most (ContentsOptions::m_maxAge).
   base::Duration m_askEvery = std::chrono::milliseconds(300);
   base::Duration m_answerWithin = std::chrono::milliseconds(700);
   base::Duration m_connectWithin = std::chrono::milliseconds(300);
--- a/include/ferrytray/relay/endpoint_call.hpp
+++ b/include/ferrytray/relay/endpoint_call.hpp
@@ -23,8 +23,8 @@
   std::optional<fleet::WeightVersion> m_weights; ///< an endpoint with others refuses the request
   std::string m_cacheScope; ///< cached parts are found only under the same text
   cache::PartPlan m_parts;  ///< where the prompt's parts come from and go to
-  /// Prompt tokens by what becomes of their part (cache::PartFate).
-  std::array<std::uint64_t, cache::kPartFates> m_tokensByFate{};
+  /// Prompt tokens by what becomes of their part (cache::PartOutcome).
+  std::array<std::uint64_t, cache::kPartOutcomes> m_tokensByOutcome{};
   base::Duration m_maxIdle{}; ///< of a connection that is reused
   bool m_repeatable = false;
   /// Of a prompt: 0 is run first when not all can run at once.
--- a/include/ferrytray/relay/exchange.hpp
+++ b/include/ferrytray/relay/exchange.hpp
@@ -114,8 +114,8 @@
   std::string m_lastEndpoint;
   routing::Work m_lastWorkThere = 0; ///< for the log: what decided the last send
   bool m_lastAtHome = true;
-  std::array<std::uint64_t, cache::kPartFates> m_lastTokens{}; ///< by cache::PartFate
-  std::optional<base::TimePoint> m_beganAt;                    ///< the answer's first event
+  std::array<std::uint64_t, cache::kPartOutcomes> m_lastTokens{}; ///< by cache::PartOutcome
+  std::optional<base::TimePoint> m_beganAt;                       ///< the answer's first event
   bool m_isTry = false; ///< sent once, though requests that are alike are kept away
   bool m_done = false;
 };
--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -3,7 +3,7 @@
 #include <functional> // for function
 #include <vector>     // for vector
 
-#include "ferrytray/cache/store_upkeep.hpp"  // for StoreUpkeep, FreeParts
+#include "ferrytray/cache/store_cleanup.hpp" // for StoreCleanup, FreeParts
 #include "ferrytray/relay/relay_core.hpp"    // for RelayCore
 #include "ferrytray/rollout/leased_duty.hpp" // for LeasedDuty
 
@@ -33,7 +33,7 @@
 private:
   RelayCore& m_core;
   PartFreer& m_freer;
-  cache::StoreUpkeep m_upkeep;
+  cache::StoreCleanup m_upkeep;
   std::vector<cache::FreeParts> m_due;
   base::TimePoint m_lookedAt{};
 };
--- a/src/ferrytray/cache/part_planner.cpp
+++ b/src/ferrytray/cache/part_planner.cpp
@@ -19,7 +19,7 @@
   return tokens;
 }
 
-bool KnowsAny(const Stores& aStores, base::TimePoint aNow)
+bool AnyFresh(const Stores& aStores, base::TimePoint aNow)
 {
   return std::any_of(aStores.begin(), aStores.end(), [aNow](const auto& aStore) {
     return aStore.second.IsFresh(aNow);
@@ -28,42 +28,43 @@
 
 } // namespace
 
-std::string_view ToString(PartFate aFate)
+std::string_view ToString(PartOutcome aOutcome)
 {
-  switch (aFate) {
-    case PartFate::Unshared:
+  switch (aOutcome) {
+    case PartOutcome::Unshared:
       return "unshared";
-    case PartFate::Fetched:
+    case PartOutcome::Fetched:
       return "fetched";
-    case PartFate::Saved:
+    case PartOutcome::Saved:
       return "saved";
-    case PartFate::OnItsWay:
+    case PartOutcome::OnItsWay:
       return "on_its_way";
-    case PartFate::NoRoom:
+    case PartOutcome::NoRoom:
       return "no_room";
-    case PartFate::NoContact:
+    case PartOutcome::NoContact:
       break;
   }
   return "no_contact";
 }
 
-std::array<std::uint64_t, kPartFates> PartPlan::Tokens(std::span<const PlannedPart> aParts) const
+std::array<std::uint64_t, kPartOutcomes> PartPlan::TokensByOutcome(
+  std::span<const PlannedPart> aParts) const
 {
-  std::array<std::uint64_t, kPartFates> tokens{};
-  for (std::size_t i = 0; i < std::min(aParts.size(), m_moves.size()); ++i) {
-    tokens.at(static_cast<std::size_t>(m_moves[i].m_fate)) += aParts[i].m_tokens;
+  std::array<std::uint64_t, kPartOutcomes> tokens{};
+  for (std::size_t i = 0; i < std::min(aParts.size(), m_transfers.size()); ++i) {
+    tokens.at(static_cast<std::size_t>(m_transfers[i].m_outcome)) += aParts[i].m_tokens;
   }
   return tokens;
 }
 
 bool PartPlan::Empty() const
 {
-  return std::all_of(m_moves.begin(), m_moves.end(), [](const PartMoves& aMoves) {
-    return aMoves.m_fetchFrom.empty() && aMoves.m_saveTo.empty();
+  return std::all_of(m_transfers.begin(), m_transfers.end(), [](const PartTransfers& aTransfers) {
+    return aTransfers.m_fetchFrom.empty() && aTransfers.m_saveTo.empty();
   });
 }
 
-std::vector<std::string> PartPlanner::Ranked(const std::string& aId, const Stores& aStores)
+std::vector<std::string> PartPlanner::RankStores(const std::string& aId, const Stores& aStores)
 {
   // Weighted rendezvous: a store gets parts in proportion to what its link carries, so that waits
   // are alike; when the fast ones are full, the others get the rest.
@@ -87,42 +88,42 @@
                            base::TimePoint aNow) const
 {
   PartPlan plan;
-  plan.m_moves.resize(aPrompt.m_parts.size());
-  if (SharedTokens(aPrompt.m_parts) < m_options.m_leastTokens) {
+  plan.m_transfers.resize(aPrompt.m_parts.size());
+  if (SharedTokens(aPrompt.m_parts) < m_options.m_minSharedTokens) {
     return plan;
   }
   for (std::size_t i = 0; i + 1 < aPrompt.m_parts.size(); ++i) {
     const PlannedPart& part = aPrompt.m_parts[i];
     const PartName name{ aPrompt.m_scope, part.m_id };
-    const std::vector<std::string> ranked = Ranked(part.m_id, aStores);
-    PartMoves& moves = plan.m_moves[i];
+    const std::vector<std::string> ranked = RankStores(part.m_id, aStores);
+    PartTransfers& transfers = plan.m_transfers[i];
     for (const std::string& address : ranked) {
       const StoreContents& store = aStores.at(address);
       if (store.MayFetch(name, aNow)) {
-        moves.m_fetchFrom = address;
-        plan.m_fetchUntil = store.FetchUntil(aNow, aPrompt.m_fetchWithin);
+        transfers.m_fetchFrom = address;
+        plan.m_fetchDeadline = store.FetchDeadline(aNow, aPrompt.m_fetchTimeout);
         break;
       }
     }
-    if (!moves.m_fetchFrom.empty()) {
-      moves.m_fate = PartFate::Fetched;
+    if (!transfers.m_fetchFrom.empty()) {
+      transfers.m_outcome = PartOutcome::Fetched;
       continue;
     }
-    moves.m_fetchFrom = aPrompt.m_home;
+    transfers.m_fetchFrom = aPrompt.m_home;
     const bool expected = std::any_of(aStores.begin(), aStores.end(), [&](const auto& aStore) {
-      return aStore.second.Expects(name);
+      return aStore.second.IsPending(name);
     });
     if (expected) {
-      moves.m_fate = PartFate::OnItsWay;
+      transfers.m_outcome = PartOutcome::OnItsWay;
       continue;
     }
-    moves.m_fate = KnowsAny(aStores, aNow) ? PartFate::NoRoom : PartFate::NoContact;
+    transfers.m_outcome = AnyFresh(aStores, aNow) ? PartOutcome::NoRoom : PartOutcome::NoContact;
     for (const std::string& address : ranked) {
       StoreContents& store = aStores.at(address);
       if (store.MaySave(name, part.m_tokens, aNow)) {
-        moves.m_saveTo = address;
-        moves.m_fate = PartFate::Saved;
-        store.OnSaveAsked(name, part.m_tokens, aNow);
+        transfers.m_saveTo = address;
+        transfers.m_outcome = PartOutcome::Saved;
+        store.OnSaveRequested(name, part.m_tokens, aNow);
         break;
       }
     }
--- a/src/ferrytray/cache/part_planner_test.cpp
+++ b/src/ferrytray/cache/part_planner_test.cpp
@@ -12,22 +12,22 @@
 const base::TimePoint kStart = base::TimePoint(base::Duration(5'000'000));
 const base::TimePoint kSettled = kStart + 5s;
 
-void Hear(cache::Stores& aStores,
-          base::TimePoint aNow,
-          std::vector<cache::StoreChange> aChanges = {})
+void ReportEvents(cache::Stores& aStores,
+                  base::TimePoint aNow,
+                  std::vector<cache::StoreChange> aChanges = {})
 {
   for (auto& [address, contents] : aStores) {
-    cache::StoreNews news;
-    news.m_epoch = 1;
-    news.m_clockMillis = 0;
-    contents.OnNews(news, false, aNow, aNow);
+    cache::StoreEvents events;
+    events.m_epoch = 1;
+    events.m_clockMillis = 0;
+    contents.OnEvents(events, false, aNow, aNow);
   }
   if (!aChanges.empty()) {
-    cache::StoreNews news;
-    news.m_epoch = 1;
-    news.m_clockMillis = 0;
-    news.m_changes = std::move(aChanges);
-    aStores.begin()->second.OnNews(news, false, aNow, aNow);
+    cache::StoreEvents events;
+    events.m_epoch = 1;
+    events.m_clockMillis = 0;
+    events.m_changes = std::move(aChanges);
+    aStores.begin()->second.OnEvents(events, false, aNow, aNow);
   }
 }
 
@@ -48,89 +48,89 @@
   }
 };
 
-TEST(PartPlanner, SavesSharedPartsAndNotTheRequestsOwn)
+TEST(PartPlanner, SavesSharedPartsButNotTheRequestsOwnPart)
 {
-  Hear(m_stores, kStart);
-  Hear(m_stores, kSettled);
+  ReportEvents(m_stores, kStart);
+  ReportEvents(m_stores, kSettled);
   const cache::PartPlan plan = Plan();
-  CHECK_FALSE(plan.m_moves[0].m_saveTo.empty());
-  CHECK_FALSE(plan.m_moves[1].m_saveTo.empty());
-  CHECK(plan.m_moves[2].m_saveTo.empty());
+  CHECK_FALSE(plan.m_transfers[0].m_saveTo.empty());
+  CHECK_FALSE(plan.m_transfers[1].m_saveTo.empty());
+  CHECK(plan.m_transfers[2].m_saveTo.empty());
   CHECK(Plan().Empty()); // on its way
 }
 
-TEST(PartPlanner, FetchesFromTheStoreThatHoldsThePartWhichereverItsHomeIs)
+TEST(PartPlanner, FetchesFromAnyStoreThatHoldsThePart)
 {
-  Hear(m_stores, kStart);
-  Hear(m_stores, kSettled, { { { "m.1", "large" }, 12'000, true } });
+  ReportEvents(m_stores, kStart);
+  ReportEvents(m_stores, kSettled, { { { "m.1", "large" }, 12'000, true } });
   const cache::PartPlan plan = Plan("w:1");
-  STRCMP_EQUAL("s1:1", plan.m_moves[1].m_fetchFrom.c_str());
-  CHECK(plan.m_moves[1].m_saveTo.empty());
-  CHECK(plan.m_fetchUntil.has_value());
+  STRCMP_EQUAL("s1:1", plan.m_transfers[1].m_fetchFrom.c_str());
+  CHECK(plan.m_transfers[1].m_saveTo.empty());
+  CHECK(plan.m_fetchDeadline.has_value());
 }
 
-TEST(PartPlanner, AsksAnEndpointThatMayHoldItWhenNoStoreDoes)
+TEST(PartPlanner, FetchesFromAnEndpointWhenNoStoreHoldsThePart)
 {
-  Hear(m_stores, kStart);
-  Hear(m_stores, kSettled);
-  STRCMP_EQUAL("w:1", Plan("w:1").m_moves[1].m_fetchFrom.c_str());
+  ReportEvents(m_stores, kStart);
+  ReportEvents(m_stores, kSettled);
+  STRCMP_EQUAL("w:1", Plan("w:1").m_transfers[1].m_fetchFrom.c_str());
 }
 
-TEST(PartPlanner, WithoutNewsItMovesNothing)
+TEST(PartPlanner, PlansNoTransfersWithoutStoreEvents)
 {
   CHECK(Plan().Empty());
 }
 
 // Load: prompts that begin with one of a few short parts, then a long one. Engines drop both within
 // seconds. What binds is the long part, which cannot be used when the short one before it is gone.
-TEST(PartPlanner, AShortPartBeforeALongOneIsFetchedLikeIt)
+TEST(PartPlanner, FetchesShortPartsBeforeLongOnes)
 {
-  Hear(m_stores, kStart);
-  Hear(
+  ReportEvents(m_stores, kStart);
+  ReportEvents(
     m_stores, kSettled, { { { "m.1", "small" }, 50, true }, { { "m.1", "large" }, 12'000, true } });
   const cache::PartPlan plan = Plan("w:1");
-  STRCMP_EQUAL("s1:1", plan.m_moves[0].m_fetchFrom.c_str());
-  STRCMP_EQUAL("s1:1", plan.m_moves[1].m_fetchFrom.c_str());
+  STRCMP_EQUAL("s1:1", plan.m_transfers[0].m_fetchFrom.c_str());
+  STRCMP_EQUAL("s1:1", plan.m_transfers[1].m_fetchFrom.c_str());
 }
 
 // Load: lookups of a few hundred tokens, whose reading takes an engine less than two transfers
 // wait.
-TEST(PartPlanner, APromptWithFewSharedTokensMovesNothing)
+TEST(PartPlanner, PlansNoTransfersForFewSharedTokens)
 {
-  Hear(m_stores, kStart);
-  Hear(m_stores, kSettled, { { { "m.1", "a" }, 55, true }, { { "m.1", "b" }, 246, true } });
+  ReportEvents(m_stores, kStart);
+  ReportEvents(m_stores, kSettled, { { { "m.1", "a" }, 55, true }, { { "m.1", "b" }, 246, true } });
   const std::array<cache::PlannedPart, 3> parts{ { { "a", 55 }, { "b", 246 }, { "own", 4000 } } };
   CHECK(m_planner.Plan({ parts, "m.1", "w:1" }, m_stores, kSettled).Empty());
 }
 
 // Load: a store whose link is slow or crowded. Beyond the time that a request can spare, its prompt
 // is read instead.
-TEST(PartPlanner, AFetchEndsInTheTimeThatTheRequestCanSpare)
+TEST(PartPlanner, FetchDeadlineFollowsTheRequestsTimeLimit)
 {
-  Hear(m_stores, kStart);
-  Hear(m_stores, kSettled, { { { "m.1", "large" }, 12'000, true } });
-  const auto until = [&](base::Duration aWithin) {
-    return *m_planner.Plan({ m_parts, "m.1", "", aWithin }, m_stores, kSettled).m_fetchUntil;
+  ReportEvents(m_stores, kStart);
+  ReportEvents(m_stores, kSettled, { { { "m.1", "large" }, 12'000, true } });
+  const auto deadline = [&](base::Duration aTimeout) {
+    return *m_planner.Plan({ m_parts, "m.1", "", aTimeout }, m_stores, kSettled).m_fetchDeadline;
   };
-  LONGS_EQUAL(100, until(700ms) - until(600ms));
-  LONGS_EQUAL(until(2s), until(10s));
+  LONGS_EQUAL(100, deadline(700ms) - deadline(600ms));
+  LONGS_EQUAL(deadline(2s), deadline(10s));
 }
 
 // Load: two tiers of stores, the fast one much the smaller. By room the slow links would carry nine
 // of ten fetches; by link speed both are as busy, until the fast ones are full.
-TEST(PartPlanner, PartsAreSavedByLinkSpeedWhileThereIsRoom)
+TEST(PartPlanner, DistributesSavesByLinkSpeedUntilStoresAreFull)
 {
   cache::Stores tiers{ { "fast:1", cache::StoreContents({ 70'000, 71'000 }) },
                        { "slow:1", cache::StoreContents({ 700'000, 28'000 }) } };
-  Hear(tiers, kStart);
-  Hear(tiers, kSettled);
+  ReportEvents(tiers, kStart);
+  ReportEvents(tiers, kSettled);
   std::map<std::string, int> saved;
   constexpr int kPrompts = 300;
   constexpr std::uint32_t kTokens = 1500;
   for (int i = 0; i < kPrompts; ++i) {
     const std::array<cache::PlannedPart, 2> parts{ { { "part" + std::to_string(i), kTokens },
                                                      { "own", 300 } } };
-    ++saved[m_planner.Plan({ parts, "m.1", "" }, tiers, kSettled).m_moves[0].m_saveTo];
+    ++saved[m_planner.Plan({ parts, "m.1", "" }, tiers, kSettled).m_transfers[0].m_saveTo];
     if (i == 39) {
       CHECK(saved["fast:1"] > saved["slow:1"]);
     }
--- a/src/ferrytray/cache/store_upkeep_test.cpp
+++ b/src/ferrytray/cache/store_cleanup_test.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/cache/store_upkeep.hpp"
+#include "ferrytray/cache/store_cleanup.hpp"
 
 #include "ferrytray/cache/scope.hpp" // for Scope
 
@@ -13,25 +13,25 @@
 
 } // namespace
 
-TEST_GROUP(StoreUpkeep)
+TEST_GROUP(StoreCleanup)
 {
   cache::Stores m_stores{ { "s:1", cache::StoreContents({ 100'000 }) } };
-  cache::StoreUpkeep m_upkeep{ { .m_quiet = 6s } };
+  cache::StoreCleanup m_upkeep{ { .m_gracePeriod = 6s } };
 
-  void Hold(const std::string& aScope, const std::string& aId)
+  void StorePart(const std::string& aScope, const std::string& aId)
   {
-    cache::StoreNews news;
-    news.m_epoch = 7;
-    news.m_changes = { { { aScope, aId }, 100, true } };
-    m_stores.at("s:1").OnNews(news, false, kStart, kStart);
+    cache::StoreEvents events;
+    events.m_epoch = 7;
+    events.m_changes = { { { aScope, aId }, 100, true } };
+    m_stores.at("s:1").OnEvents(events, false, kStart, kStart);
   }
 };
 
-TEST(StoreUpkeep, FreesPartsOfWeightsThatNoEngineRunsOnceFetchesHaveEnded)
+TEST(StoreCleanup, FreesPartsOfUnusedWeightsAfterTheGracePeriod)
 {
-  Hold("m/1", "old");
-  Hold("m/2", "new");
-  Hold("other/1", "kept");
+  StorePart("m/1", "old");
+  StorePart("m/2", "new");
+  StorePart("other/1", "kept");
   CHECK(m_upkeep.Plan(m_stores, { { "m", 1 } }, kStart).empty());
   CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 20s).empty());
   CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 25s).empty());
@@ -41,14 +41,14 @@
   LONGS_EQUAL(1, plan[0].m_parts.size());
   STRCMP_EQUAL("old", plan[0].m_parts[0].m_id.c_str());
   LONGS_EQUAL(1, m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 26s).size());
-  m_upkeep.OnAsked("s:1", kStart + 26s);
+  m_upkeep.OnFreeRequested("s:1", kStart + 26s);
   CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 27s).empty());
   LONGS_EQUAL(1, m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 29s).size());
 }
 
-TEST(StoreUpkeep, AnEngineThatComesBackWithOldWeightsStartsTheWaitAnew)
+TEST(StoreCleanup, EngineWithOldWeightsRestartsTheGracePeriod)
 {
-  Hold("m/1", "old");
+  StorePart("m/1", "old");
   m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart);
   m_upkeep.Plan(m_stores, { { "m", 1 } }, kStart + 5s);
   CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 6s).empty());
@@ -56,14 +56,14 @@
   CHECK_FALSE(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 12s).empty());
 }
 
-TEST(StoreUpkeep, WhatIsNotItsOwnIsLeftAlone)
+TEST(StoreCleanup, KeepsPartsWithAnUnknownScope)
 {
-  Hold("somebody's", "x");
+  StorePart("somebody's", "x");
   m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart);
   CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 60s).empty());
 }
 
-TEST(StoreUpkeep, ScopesReadBackWhatTheyWrote)
+TEST(StoreCleanup, ScopeTextRoundTrips)
 {
   const cache::Scope isolated{ "m", 3, "lab" };
   const auto read = cache::Scope::FromText(isolated.ToText());
@@ -75,9 +75,9 @@
   CHECK_FALSE(cache::Scope::FromText("m/x").has_value());
 }
 
-TEST(StoreUpkeep, ByDefaultNothingIsFreedWhileAFetchMayStillBeUnderWay)
+TEST(StoreCleanup, DefaultGracePeriodCoversFetchesInProgress)
 {
-  const cache::UpkeepOptions upkeep;
+  const cache::CleanupOptions cleanup;
   const cache::ContentsOptions contents;
-  CHECK(upkeep.m_quiet >= contents.m_fetchWithin + 1500ms);
+  CHECK(cleanup.m_gracePeriod >= contents.m_maxFetchTime + 1500ms);
 }
--- a/src/ferrytray/cache/store_contents.cpp
+++ b/src/ferrytray/cache/store_contents.cpp
@@ -17,89 +17,89 @@
 void StoreContents::BeginEpoch(std::uint64_t aEpoch, base::TimePoint aNow)
 {
   m_epoch = aEpoch;
-  m_epochSince = aNow;
+  m_epochStartedAt = aNow;
   m_next = 0; // numbers of another epoch say nothing
   m_pending.clear();
-  Replace();
+  Clear();
 }
 
-void StoreContents::Replace()
+void StoreContents::Clear()
 {
   m_parts.clear();
   m_used = 0;
-  m_history.BeginSeries();
+  m_history.StartSeries();
 }
 
-void StoreContents::HeardAt(base::TimePoint aTime, base::TimePoint aNow)
+void StoreContents::MarkUpdated(base::TimePoint aTime, base::TimePoint aNow)
 {
-  m_heardAt = m_heardAt ? std::max(*m_heardAt, aTime) : aTime;
+  m_updatedAt = m_updatedAt ? std::max(*m_updatedAt, aTime) : aTime;
   std::erase_if(m_pending, [aNow](const auto& aPair) { return aPair.second.m_until <= aNow; });
 }
 
-void StoreContents::OnNews(const StoreNews& aNews,
-                           bool aWhole,
-                           base::TimePoint aAskedAt,
-                           base::TimePoint aNow)
+void StoreContents::OnEvents(const StoreEvents& aEvents,
+                             bool aWhole,
+                             base::TimePoint aRequestedAt,
+                             base::TimePoint aNow)
 {
-  if (!m_epochSince || aNews.m_epoch != m_epoch) {
-    BeginEpoch(aNews.m_epoch, aNow);
+  if (!m_epochStartedAt || aEvents.m_epoch != m_epoch) {
+    BeginEpoch(aEvents.m_epoch, aNow);
   } else if (aWhole) {
-    Replace();
+    Clear();
   }
-  for (const StoreChange& change : aNews.m_changes) {
+  for (const StoreChange& change : aEvents.m_changes) {
     Apply(change);
   }
-  m_next = aNews.m_next;
+  m_next = aEvents.m_next;
   m_cursor = {};
-  if (aNews.m_clockMillis) {
-    m_clockAhead = *aNews.m_clockMillis - ToMillis(aNow);
+  if (aEvents.m_clockMillis) {
+    m_clockOffset = *aEvents.m_clockMillis - ToMillis(aNow);
   }
-  HeardAt(aAskedAt, aNow);
+  MarkUpdated(aRequestedAt, aNow);
 }
 
-void StoreContents::OnDigest(const ContentsDigest& aDigest,
-                             base::TimePoint aAskedAt,
-                             base::TimePoint aNow)
+void StoreContents::OnDelta(const ContentsDelta& aDelta,
+                            base::TimePoint aRequestedAt,
+                            base::TimePoint aNow)
 {
-  if (!m_epochSince || aDigest.m_epoch != m_epoch) {
-    BeginEpoch(aDigest.m_epoch, aNow);
-  } else if (aDigest.m_whole) {
-    Replace();
+  if (!m_epochStartedAt || aDelta.m_epoch != m_epoch) {
+    BeginEpoch(aDelta.m_epoch, aNow);
+  } else if (aDelta.m_whole) {
+    Clear();
   }
-  for (const StoreChange& change : aDigest.m_changes) {
+  for (const StoreChange& change : aDelta.m_changes) {
     Apply(change);
   }
-  m_cursor = { aDigest.m_store, aDigest.m_series, aDigest.m_next };
-  if (aDigest.m_clockMillis) {
-    m_clockAhead = *aDigest.m_clockMillis - ToMillis(aNow);
+  m_cursor = { aDelta.m_store, aDelta.m_series, aDelta.m_next };
+  if (aDelta.m_clockMillis) {
+    m_clockOffset = *aDelta.m_clockMillis - ToMillis(aNow);
   }
-  HeardAt(aAskedAt - aDigest.m_age, aNow);
+  MarkUpdated(aRequestedAt - aDelta.m_age, aNow);
 }
 
-std::optional<ContentsDigest> StoreContents::DigestFor(const ContentsCursor& aCursor,
+std::optional<ContentsDelta> StoreContents::DeltaSince(const ContentsCursor& aCursor,
                                                        base::TimePoint aNow) const
 {
-  if (!m_heardAt) {
+  if (!m_updatedAt) {
     return std::nullopt;
   }
-  ContentsDigest digest;
-  digest.m_store = aCursor.m_store;
-  digest.m_epoch = m_epoch;
-  digest.m_series = m_history.Series();
-  digest.m_next = m_history.Next();
-  digest.m_age = aNow - *m_heardAt;
-  if (m_clockAhead) {
-    digest.m_clockMillis = ToMillis(aNow) + *m_clockAhead;
+  ContentsDelta delta;
+  delta.m_store = aCursor.m_store;
+  delta.m_epoch = m_epoch;
+  delta.m_series = m_history.Series();
+  delta.m_next = m_history.Next();
+  delta.m_age = aNow - *m_updatedAt;
+  if (m_clockOffset) {
+    delta.m_clockMillis = ToMillis(aNow) + *m_clockOffset;
   }
   if (auto changes = m_history.Since(aCursor.m_series, aCursor.m_next)) {
-    digest.m_changes = std::move(*changes);
-    return digest;
+    delta.m_changes = std::move(*changes);
+    return delta;
   }
-  digest.m_whole = true;
+  delta.m_whole = true;
   for (const auto& [part, tokens] : m_parts) {
-    digest.m_changes.push_back({ part, tokens, true });
+    delta.m_changes.push_back({ part, tokens, true });
   }
-  return digest;
+  return delta;
 }
 
 void StoreContents::Apply(const StoreChange& aChange)
@@ -126,21 +126,24 @@
   }
 }
 
-void StoreContents::OnSaveAsked(const PartName& aPart, std::uint32_t aTokens, base::TimePoint aNow)
+void StoreContents::OnSaveRequested(const PartName& aPart,
+                                    std::uint32_t aTokens,
+                                    base::TimePoint aNow)
 {
-  m_pending[aPart] = { aTokens, aNow + m_options.m_pendingFor };
+  m_pending[aPart] = { aTokens, aNow + m_options.m_pendingTimeout };
 }
 
 bool StoreContents::MayFetch(const PartName& aPart, base::TimePoint aNow) const
 {
-  return IsFresh(aNow) && m_clockAhead && m_parts.contains(aPart);
+  return IsFresh(aNow) && m_clockOffset && m_parts.contains(aPart);
 }
 
 bool StoreContents::MaySave(const PartName& aPart,
                             std::uint32_t aTokens,
                             base::TimePoint aNow) const
 {
-  const bool settled = m_epochSince && aNow >= *m_epochSince + m_options.m_settle;
+  const bool settled =
+    m_epochStartedAt && aNow >= *m_epochStartedAt + m_options.m_saveDelayAfterRestart;
   if (!IsFresh(aNow) || !settled || m_parts.contains(aPart) || m_pending.contains(aPart)) {
     return false;
   }
@@ -151,13 +154,13 @@
   return taken <= m_traits.m_tokens;
 }
 
-std::optional<std::int64_t> StoreContents::FetchUntil(base::TimePoint aNow,
-                                                      base::Duration aWithin) const
+std::optional<std::int64_t> StoreContents::FetchDeadline(base::TimePoint aNow,
+                                                         base::Duration aTimeout) const
 {
-  if (!m_clockAhead) {
+  if (!m_clockOffset) {
     return std::nullopt;
   }
-  return ToMillis(aNow + std::min(aWithin, m_options.m_fetchWithin)) + *m_clockAhead;
+  return ToMillis(aNow + std::min(aTimeout, m_options.m_maxFetchTime)) + *m_clockOffset;
 }
 
 } // namespace ferrytray::cache
--- a/src/ferrytray/cache/store_contents_test.cpp
+++ b/src/ferrytray/cache/store_contents_test.cpp
@@ -7,20 +7,20 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 using cache::PartName;
-using cache::StoreNews;
+using cache::StoreEvents;
 
 namespace {
 
 const base::TimePoint kStart = base::TimePoint(base::Duration(5'000'000));
 const PartName kPart{ "m.1", "p" };
 
-StoreNews News(std::uint64_t aEpoch, std::vector<cache::StoreChange> aChanges = {})
+StoreEvents Events(std::uint64_t aEpoch, std::vector<cache::StoreChange> aChanges = {})
 {
-  StoreNews news;
-  news.m_epoch = aEpoch;
-  news.m_clockMillis = 100'000;
-  news.m_changes = std::move(aChanges);
-  return news;
+  StoreEvents events;
+  events.m_epoch = aEpoch;
+  events.m_clockMillis = 100'000;
+  events.m_changes = std::move(aChanges);
+  return events;
 }
 
 } // namespace
@@ -30,72 +30,73 @@
   cache::StoreContents m_contents{ { 1000 } };
 };
 
-TEST(StoreContents, FetchesOnlyWhatFreshNewsSayIsWhole)
+TEST(StoreContents, FetchesOnlyPartsConfirmedByRecentEvents)
 {
   CHECK_FALSE(m_contents.MayFetch(kPart, kStart));
-  m_contents.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart);
+  m_contents.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
   CHECK(m_contents.MayFetch(kPart, kStart + 1s));
   CHECK_FALSE(m_contents.MayFetch(kPart, kStart + 1900ms));
   CHECK_FALSE(m_contents.MayFetch({ "m.2", "p" }, kStart));
 }
 
-TEST(StoreContents, ARestartForgetsAllAndSavesNothingUntilOldFetchesHaveEnded)
+TEST(StoreContents, RestartClearsContentsAndDelaysSavesUntilOldFetchesEnd)
 {
-  m_contents.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart);
-  m_contents.OnNews(News(2), true, kStart + 10s, kStart + 10s);
+  m_contents.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
+  m_contents.OnEvents(Events(2), true, kStart + 10s, kStart + 10s);
   CHECK_FALSE(m_contents.MayFetch(kPart, kStart + 10s));
-  m_contents.OnNews(News(2), false, kStart + 13s, kStart + 13s);
+  m_contents.OnEvents(Events(2), false, kStart + 13s, kStart + 13s);
   CHECK_FALSE(m_contents.MaySave(kPart, 400, kStart + 13500ms));
   CHECK(m_contents.MaySave(kPart, 400, kStart + 13600ms));
 }
 
-TEST(StoreContents, SavesNothingTwiceAndNothingBeyondItsRoom)
+TEST(StoreContents, RefusesDuplicateSavesAndSavesBeyondCapacity)
 {
-  m_contents.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart);
+  m_contents.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
   const base::TimePoint now = kStart + 5s;
-  m_contents.OnNews(News(1), false, now, now);
+  m_contents.OnEvents(Events(1), false, now, now);
   CHECK_FALSE(m_contents.MaySave(kPart, 400, now));
   const PartName other{ "m.1", "q" };
   CHECK_FALSE(m_contents.MaySave(other, 601, now));
   CHECK(m_contents.MaySave(other, 600, now));
-  m_contents.OnSaveAsked(other, 300, now);
+  m_contents.OnSaveRequested(other, 300, now);
   CHECK_FALSE(m_contents.MaySave(other, 300, now));
   CHECK_FALSE(m_contents.MaySave({ "m.1", "r" }, 301, now));
 }
 
-TEST(StoreContents, ASaveWhoseNewsNeverComeIsForgotten)
+TEST(StoreContents, PendingSaveExpiresWithoutAnEvent)
 {
-  m_contents.OnNews(News(1), false, kStart, kStart);
-  m_contents.OnSaveAsked(kPart, 400, kStart + 5s);
-  m_contents.OnNews(News(1), false, kStart + 13s, kStart + 13s);
+  m_contents.OnEvents(Events(1), false, kStart, kStart);
+  m_contents.OnSaveRequested(kPart, 400, kStart + 5s);
+  m_contents.OnEvents(Events(1), false, kStart + 13s, kStart + 13s);
   CHECK(m_contents.MaySave(kPart, 400, kStart + 13s));
 }
 
-TEST(StoreContents, NamesTheEndOfAFetchOnTheEndpointsClock)
+TEST(StoreContents, FetchDeadlineUsesTheEndpointsClock)
 {
-  CHECK_FALSE(m_contents.FetchUntil(kStart, 2s).has_value());
-  m_contents.OnNews(News(1), false, kStart, kStart);
-  LONGS_EQUAL(101'500, *m_contents.FetchUntil(kStart + 500ms, 1s));
-  LONGS_EQUAL(101'700, *m_contents.FetchUntil(kStart + 500ms, 2s)); // no longer than any may take
+  CHECK_FALSE(m_contents.FetchDeadline(kStart, 2s).has_value());
+  m_contents.OnEvents(Events(1), false, kStart, kStart);
+  LONGS_EQUAL(101'500, *m_contents.FetchDeadline(kStart + 500ms, 1s));
+  LONGS_EQUAL(101'700,
+              *m_contents.FetchDeadline(kStart + 500ms, 2s)); // no longer than any may take
 }
 
-TEST(StoreContents, ByDefaultNothingIsSavedWhileAFetchByOldContentsMayBeUnderWay)
+TEST(StoreContents, DefaultSaveDelayCoversFetchesOfOldContents)
 {
   const cache::ContentsOptions options;
-  CHECK(options.m_settle >= options.m_freshFor + options.m_fetchWithin + 500ms);
+  CHECK(options.m_saveDelayAfterRestart >= options.m_maxAge + options.m_maxFetchTime + 500ms);
 }
 
-TEST(StoreContents, NewsReadLateAreAsOldAsTheirQuestion)
+TEST(StoreContents, EventsAgeFromTheTimeOfTheRequest)
 {
   // The process stood still for 4 s while the answer waited to be read.
-  m_contents.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart + 4s);
+  m_contents.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart + 4s);
   CHECK_FALSE(m_contents.MayFetch(kPart, kStart + 4s));
-  m_contents.OnNews(News(1), false, kStart + 4s, kStart + 4s);
+  m_contents.OnEvents(Events(1), false, kStart + 4s, kStart + 4s);
   CHECK(m_contents.MayFetch(kPart, kStart + 4s));
 }
 
 /// A host that reads a store, and one that follows it by digests.
-TEST_GROUP(ContentsDigest)
+TEST_GROUP(ContentsDelta)
 {
   cache::StoreContents m_reader{ { 100'000 } };
   cache::StoreContents m_follower{ { 100'000 } };
@@ -104,29 +105,29 @@
   {
     cache::ContentsCursor cursor = m_follower.Cursor();
     cursor.m_store = "s:1";
-    const auto digest = m_reader.DigestFor(cursor, aNow);
-    CHECK(digest.has_value());
-    m_last = *digest;
-    m_follower.OnDigest(*digest, aNow, aNow);
+    const auto delta = m_reader.DeltaSince(cursor, aNow);
+    CHECK(delta.has_value());
+    m_last = *delta;
+    m_follower.OnDelta(*delta, aNow, aNow);
   }
 
-  cache::ContentsDigest m_last;
+  cache::ContentsDelta m_last;
 };
 
-TEST(ContentsDigest, NothingIsToldOfAStoreThatWasNotHeardOf)
+TEST(ContentsDelta, NoDeltaBeforeTheFirstEvents)
 {
-  CHECK_FALSE(m_reader.DigestFor({}, kStart).has_value());
+  CHECK_FALSE(m_reader.DeltaSince({}, kStart).has_value());
 }
 
-TEST(ContentsDigest, TheFirstIsWholeAndLaterOnesTellWhatChanged)
+TEST(ContentsDelta, FirstDeltaIsWholeAndLaterOnesAreIncremental)
 {
-  m_reader.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart);
+  m_reader.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
   Follow(kStart);
   CHECK(m_last.m_whole);
   CHECK(m_follower.MayFetch(kPart, kStart));
   const PartName other{ "m.1", "q" };
-  m_reader.OnNews(
-    News(1, { { kPart, 0, false }, { other, 300, true } }), false, kStart + 1s, kStart + 1s);
+  m_reader.OnEvents(
+    Events(1, { { kPart, 0, false }, { other, 300, true } }), false, kStart + 1s, kStart + 1s);
   Follow(kStart + 1s);
   CHECK_FALSE(m_last.m_whole);
   LONGS_EQUAL(2, m_last.m_changes.size());
@@ -134,30 +135,30 @@
   CHECK(m_follower.MayFetch(other, kStart + 1s));
 }
 
-TEST(ContentsDigest, IsAsOldAsTheReadersOwnNews)
+TEST(ContentsDelta, KeepsTheAgeOfTheReadersEvents)
 {
-  m_reader.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart);
+  m_reader.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
   Follow(kStart + 1s);
   CHECK(m_follower.MayFetch(kPart, kStart + 1s));
   CHECK_FALSE(m_follower.MayFetch(kPart, kStart + 1900ms));
-  LONGS_EQUAL(m_reader.FetchUntil(kStart + 1s, 2s).value(),
-              m_follower.FetchUntil(kStart + 1s, 2s).value());
+  LONGS_EQUAL(m_reader.FetchDeadline(kStart + 1s, 2s).value(),
+              m_follower.FetchDeadline(kStart + 1s, 2s).value());
 }
 
-TEST(ContentsDigest, ARestartOfTheStoreEmptiesTheFollowerAndHoldsItsSavesBack)
+TEST(ContentsDelta, StoreRestartClearsTheFollowerAndDelaysItsSaves)
 {
-  m_reader.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart);
+  m_reader.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
   Follow(kStart);
   CHECK(m_follower.MaySave({ "m.1", "q" }, 10, kStart + 4500ms) ||
         !m_follower.MayFetch(kPart, kStart + 4500ms));
-  m_reader.OnNews(News(2), false, kStart + 10s, kStart + 10s);
+  m_reader.OnEvents(Events(2), false, kStart + 10s, kStart + 10s);
   Follow(kStart + 10s);
   CHECK_FALSE(m_follower.MayFetch(kPart, kStart + 10s));
   CHECK_FALSE(m_follower.MaySave(kPart, 400, kStart + 10s));
   LONGS_EQUAL(0, m_follower.Next());
 }
 
-TEST(ContentsDigest, WhateverTheOrderTheFollowerEndsWithTheReadersParts)
+TEST(ContentsDelta, FollowerConvergesToTheReadersParts)
 {
   const bool held = rc::check([&] {
     cache::StoreContents reader{ { 100'000 } };
@@ -172,11 +173,11 @@
       epoch += what == 0 ? 1 : 0;
       const bool whole = what == 1;
       const bool added = what % 2 == 0;
-      reader.OnNews(News(epoch, { { part, 10, added } }), whole, now, now);
+      reader.OnEvents(Events(epoch, { { part, 10, added } }), whole, now, now);
       if (what % 7 == 3) {
         cache::ContentsCursor cursor = follower.Cursor();
         cursor.m_store = "s:1";
-        follower.OnDigest(*reader.DigestFor(cursor, now), now, now);
+        follower.OnDelta(*reader.DeltaSince(cursor, now), now, now);
         RC_ASSERT(follower.Parts() == reader.Parts());
         RC_ASSERT(follower.Epoch() == reader.Epoch());
       }
@@ -185,9 +186,9 @@
   CHECK(held);
 }
 
-TEST(StoreContents, WhatThisHostFreedIsGoneThoughTheStoresNewsOfItAreLost)
+TEST(StoreContents, FreedPartsAreRemovedWithoutAnEvent)
 {
-  m_contents.OnNews(News(1, { { kPart, 400, true } }), false, kStart, kStart);
+  m_contents.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
   m_contents.OnFreed(2, std::vector{ kPart });
   CHECK(m_contents.Parts().contains(kPart)); // of another epoch
   m_contents.OnFreed(1, std::vector{ kPart });
--- a/src/ferrytray/cache/store_follower.cpp
+++ b/src/ferrytray/cache/store_follower.cpp
@@ -27,74 +27,75 @@
 
 void StoreFollower::Read()
 {
-  m_askedAt = base::MonotonicNow();
-  m_feed.ReadNews(
-    m_address,
-    m_stores.at(m_address).Next(),
-    m_options.m_wait,
-    [self = shared_from_this()](const base::Result<StoreNews>& aNews) { self->OnNews(aNews); });
+  m_requestedAt = base::MonotonicNow();
+  m_feed.ReadEvents(m_address,
+                    m_stores.at(m_address).Next(),
+                    m_options.m_longPollWait,
+                    [self = shared_from_this()](const base::Result<StoreEvents>& aEvents) {
+                      self->OnEvents(aEvents);
+                    });
 }
 
 void StoreFollower::ReadAll()
 {
-  m_askedAt = base::MonotonicNow();
-  m_feed.ReadAll(m_address, [self = shared_from_this()](const base::Result<StoreNews>& aNews) {
-    self->OnAll(aNews);
+  m_requestedAt = base::MonotonicNow();
+  m_feed.ReadAll(m_address, [self = shared_from_this()](const base::Result<StoreEvents>& aEvents) {
+    self->OnFullContents(aEvents);
   });
 }
 
-void StoreFollower::OnNews(const base::Result<StoreNews>& aNews)
+void StoreFollower::OnEvents(const base::Result<StoreEvents>& aEvents)
 {
   if (m_stopped) {
     return;
   }
-  if (!aNews) {
-    Away(aNews.error());
+  if (!aEvents) {
+    OnReadFailed(aEvents.error());
     return;
   }
   StoreContents& contents = m_stores.at(m_address);
-  const bool restarted = contents.Epoch() != aNews->m_epoch;
+  const bool restarted = contents.Epoch() != aEvents->m_epoch;
   // After a restart, the news asked for began in the middle of the new epoch.
-  if (aNews->m_lost || (restarted && contents.Next() > 0)) {
+  if (aEvents->m_eventsLost || (restarted && contents.Next() > 0)) {
     ReadAll();
     return;
   }
-  m_away = false;
-  contents.OnNews(*aNews, false, m_askedAt, base::MonotonicNow());
-  Later(m_options.m_pause);
+  m_unreachable = false;
+  contents.OnEvents(*aEvents, false, m_requestedAt, base::MonotonicNow());
+  ScheduleRead(m_options.m_pauseBetweenReads);
 }
 
-void StoreFollower::OnAll(const base::Result<StoreNews>& aNews)
+void StoreFollower::OnFullContents(const base::Result<StoreEvents>& aEvents)
 {
   if (m_stopped) {
     return;
   }
-  if (!aNews) {
-    Away(aNews.error());
+  if (!aEvents) {
+    OnReadFailed(aEvents.error());
     return;
   }
-  m_away = false;
-  m_stores.at(m_address).OnNews(*aNews, true, m_askedAt, base::MonotonicNow());
+  m_unreachable = false;
+  m_stores.at(m_address).OnEvents(*aEvents, true, m_requestedAt, base::MonotonicNow());
   telemetry::LogLine("store_listed")
     .Add("store", m_address)
-    .Add("epoch", aNews->m_epoch)
-    .Add("parts", aNews->m_changes.size());
-  Later(m_options.m_pause);
+    .Add("epoch", aEvents->m_epoch)
+    .Add("parts", aEvents->m_changes.size());
+  ScheduleRead(m_options.m_pauseBetweenReads);
 }
 
-void StoreFollower::Away(const base::Failure& aFailure)
+void StoreFollower::OnReadFailed(const base::Failure& aFailure)
 {
-  if (!std::exchange(m_away, true)) {
+  if (!std::exchange(m_unreachable, true)) {
     telemetry::LogLine("dependency_lost")
       .Add("dependency", "kv_store")
       .Add("store", m_address)
       .Add("why", aFailure.m_message);
   }
   const bool refused = aFailure.m_code == base::ErrorCode::EndpointRefused;
-  Later(refused ? m_options.m_afterRefusal : m_options.m_retry);
+  ScheduleRead(refused ? m_options.m_refusalDelay : m_options.m_retryDelay);
 }
 
-void StoreFollower::Later(base::Duration aDelay)
+void StoreFollower::ScheduleRead(base::Duration aDelay)
 {
   std::weak_ptr<StoreFollower> weak = weak_from_this();
   m_timer = m_loop.After(aDelay, [weak] {
--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -25,7 +25,7 @@
 /// Its clock is written as a flag and a number: cereal's own reader of optional values needs C++17
 /// headers that the bounded archive does not go with.
 template<typename Archive>
-void serialize(Archive& aArchive, ContentsDigest& aDigest)
+void serialize(Archive& aArchive, ContentsDelta& aDigest)
 {
   bool hasClock = aDigest.m_clockMillis.has_value();
   std::int64_t clock = aDigest.m_clockMillis.value_or(0);
--- a/src/ferrytray/peers/messages_test.cpp
+++ b/src/ferrytray/peers/messages_test.cpp
@@ -43,7 +43,7 @@
   reply.m_readers.push_back({ "h", "z", "10.0.0.1:7", 3 });
   const auto readReply = peers::DecodeNewsReply(peers::Encode(reply));
   CHECK(readReply.has_value());
-  const cache::ContentsDigest& digest = readReply->m_stores.at(0);
+  const cache::ContentsDelta& digest = readReply->m_stores.at(0);
   CHECK(digest.m_whole && digest.m_age == 5ms && digest.m_clockMillis == 77);
   LONGS_EQUAL(400, digest.m_changes.at(0).m_tokens);
   STRCMP_EQUAL("p", digest.m_changes.at(0).m_part.m_id.c_str());
--- a/src/ferrytray/peers/news_exchange.cpp
+++ b/src/ferrytray/peers/news_exchange.cpp
@@ -311,10 +311,10 @@
   }
   m_sourceIncarnation = reply->m_incarnation;
   TakeNewsOfTopics(reply->m_topics, aAsked.m_at);
-  for (const cache::ContentsDigest& digest : reply->m_stores) {
+  for (const cache::ContentsDelta& digest : reply->m_stores) {
     const auto known = m_stores.find(digest.m_store);
     if (known != m_stores.end()) {
-      known->second.OnDigest(digest, aAsked.m_at, now);
+      known->second.OnDelta(digest, aAsked.m_at, now);
     }
   }
 }
@@ -369,7 +369,7 @@
     if (known == m_stores.end()) {
       continue;
     }
-    if (auto digest = known->second.DigestFor(cursor, now)) {
+    if (auto digest = known->second.DeltaSince(cursor, now)) {
       reply.m_stores.push_back(std::move(*digest));
     }
   }
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -105,7 +105,7 @@
       call.m_cacheScope = PromptPlacement::CacheScope(model, weights->second, m_admitted.m_account);
       const std::vector<cache::PlannedPart> parts = PlannedParts();
       call.m_parts = PlanParts(parts, call.m_cacheScope, aTarget.m_home);
-      call.m_tokensByFate = call.m_parts.Tokens(parts);
+      call.m_tokensByOutcome = call.m_parts.TokensByOutcome(parts);
     } else {
       // Nobody else finds what was made on weights that this host does not know.
       call.m_cacheScope = "request." + m_request.m_id;
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -145,7 +145,7 @@
   m_lastEndpoint = endpoint->m_incarnation;
   m_lastWorkThere = target.m_workThere;
   m_lastAtHome = target.m_home.empty();
-  m_lastTokens = call.m_tokensByFate;
+  m_lastTokens = call.m_tokensByOutcome;
   ++m_sends;
   m_core.m_board.OnSent(endpoint->m_incarnation, m_work);
   if (endpoint->m_incarnation != m_assigned.m_engine) {
--- a/src/ferrytray/relay/exchange_end.cpp
+++ b/src/ferrytray/relay/exchange_end.cpp
@@ -191,7 +191,7 @@
     line.Add("began_ms", m_beganAt ? base::ToMillis(*m_beganAt - m_arrival) : -1L)
       .Add("prompt_tokens", m_request.m_prompt->m_inputTokens);
     for (std::size_t fate = 0; fate < m_lastTokens.size(); ++fate) {
-      line.Add(cache::ToString(static_cast<cache::PartFate>(fate)), m_lastTokens.at(fate));
+      line.Add(cache::ToString(static_cast<cache::PartOutcome>(fate)), m_lastTokens.at(fate));
     }
   }
 }
--- a/src/ferrytray/relay/upkeep_duty.cpp
+++ b/src/ferrytray/relay/upkeep_duty.cpp
@@ -39,7 +39,7 @@
 void UpkeepDuty::Act(base::TimePoint aNow)
 {
   for (const cache::FreeParts& parts : std::exchange(m_due, {})) {
-    m_upkeep.OnAsked(parts.m_store, aNow);
+    m_upkeep.OnFreeRequested(parts.m_store, aNow);
     m_freer.Free(parts, [this, parts](bool aDone) {
       const auto store = m_core.m_stores.find(parts.m_store);
       if (aDone && store != m_core.m_stores.end()) {
--- a/src/ferrytray/telemetry/log_summary.cpp
+++ b/src/ferrytray/telemetry/log_summary.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// As cache::PartFate has them; telemetry knows no other module.
+// As cache::PartOutcome has them; telemetry knows no other module.
 constexpr std::array<std::string_view, 6> kFates{ "unshared",   "fetched", "saved",
                                                   "on_its_way", "no_room", "no_contact" };
 
--- a/tests/support/news_fixture.hpp
+++ b/tests/support/news_fixture.hpp
@@ -154,12 +154,12 @@
 
   void ReaderHears(std::uint64_t aEpoch, bool aAdded)
   {
-    cache::StoreNews news;
+    cache::StoreEvents news;
     news.m_epoch = aEpoch;
     news.m_clockMillis = 1000;
     news.m_changes = { { kPart, 400, aAdded } };
     const base::TimePoint now = base::MonotonicNow();
-    m_reader->m_stores.at(kStore).OnNews(news, false, now, now);
+    m_reader->m_stores.at(kStore).OnEvents(news, false, now, now);
   }
 };
 
