--- a/include/ferrytray/routing/cache_hints.hpp
+++ b/include/ferrytray/routing/cache_hints.hpp
@@ -12,42 +12,46 @@
 
 namespace ferrytray::routing {
 
-/// @brief One change of an engine's prefix cache, as the engine tells it, late.
+/// @brief One change of an engine's prefix cache. Events arrive with a delay.
 struct CacheEvent
 {
-  std::uint64_t m_sequence = 0;
+  std::uint64_t m_sequence = 0; ///< consecutive per engine
   base::Digest128 m_block;
-  bool m_stored = false;
+  bool m_stored = false; ///< false: the block was evicted
 };
 
-/// @brief Which worker probably has which blocks. Hints only: the engine's word at the time of
-/// use is the truth.
+/// @brief Tracks which worker probably caches which blocks.
+///
+/// The hints may be out of date; only the engine knows at the time of use what it has cached.
 class CacheHints
 {
 public:
-  /// @param aMaxBlocksPerWorker the most that is remembered of one worker
+  /// @param aMaxBlocksPerWorker limit of blocks tracked per worker; the least recently used are
+  /// evicted
   explicit CacheHints(std::size_t aMaxBlocksPerWorker)
     : m_maxBlocksPerWorker(aMaxBlocksPerWorker)
   {
   }
 
-  /// @brief A run ended there, so its blocks are there now.
+  /// @brief A request completed on the worker, so its blocks are cached there now.
   void OnRunCompleted(const std::string& aWorker, std::span<const base::Digest128> aBlocks);
-  /// @brief The engine said how many blocks it really had; the rest are forgotten.
+  /// @brief The engine reported how many leading blocks it had cached; the others are removed.
   void OnCachedPrefixReported(const std::string& aWorker,
                               std::span<const base::Digest128> aBlocks,
                               std::uint32_t aFound);
-  /// @brief The engine's events since LastSequence().
-  /// @return false when events are missing: the worker's hints are unknown until OnSnapshot
+  /// @brief Applies the engine's events since LastSequence().
+  /// @return false if events are missing; the worker then has no hints until OnSnapshot()
   bool OnEvents(const std::string& aWorker, std::span<const CacheEvent> aEvents);
-  /// @brief The whole cache, listed afresh.
+  /// @brief Replaces the worker's hints by a full listing of its cache.
+  /// @param aSequence sequence number of the last event that the listing includes
+  /// @param aBlocks most recently used first
   void OnSnapshot(const std::string& aWorker,
                   std::uint64_t aSequence,
                   std::span<const base::Digest128> aBlocks);
-  /// @brief The worker was replaced or has swapped its weights.
+  /// @brief The worker was replaced or loaded other weights.
   void Forget(const std::string& aWorker) { m_workers.erase(aWorker); }
 
-  /// @brief How many blocks from the first on are probably there; 0 while unknown.
+  /// @brief Number of leading blocks that are probably cached; 0 while a snapshot is needed.
   [[nodiscard]] std::uint32_t CachedPrefix(const std::string& aWorker,
                                            std::span<const base::Digest128> aBlocks) const;
   [[nodiscard]] std::uint64_t LastSequence(const std::string& aWorker) const;
@@ -55,11 +59,11 @@
 private:
   struct Worker
   {
-    std::list<base::Digest128> m_recent;
+    std::list<base::Digest128> m_recent; ///< most recently used first
     std::unordered_map<base::Digest128, std::list<base::Digest128>::iterator, base::DigestHash>
       m_blocks;
     std::uint64_t m_sequence = 0;
-    bool m_needsSnapshot = false;
+    bool m_needsSnapshot = false; ///< events were missed
   };
 
   void Add(Worker& aWorker, const base::Digest128& aBlock) const;
--- a/include/ferrytray/routing/cold_starts.hpp
+++ b/include/ferrytray/routing/cold_starts.hpp
@@ -9,37 +9,38 @@
 
 namespace ferrytray::routing {
 
-/// @brief Who decided that a request goes to a cold engine.
+/// @brief Who decided to send a request to a cold engine.
 enum class ColdTrafficSource : std::uint8_t
 {
-  Own,      ///< the host that sends it
-  Assigned, ///< the host that gives out the long prompts of the engine's zone
+  Own,      ///< the sending host itself
+  Assigned, ///< the host that assigns the long prompts of the engine's zone
 };
 
 struct ColdStartOptions
 {
-  /// Hosts that may send to one cold engine by their own choice. Two, so that one of them may be
-  /// gone; with all of them, each would have a permit every ten seconds, and all could use theirs
-  /// at once.
+  /// Hosts that may send to a cold engine on their own decision. Two tolerate the loss of one. If
+  /// all hosts were allowed, each would get a permit every ten seconds, and all could use their
+  /// permits at the same time.
   std::size_t m_sendersPerEngine = 2;
-  /// Parts of the rate that a cold engine bears. What is left of its bound is for hosts that do not
-  /// know yet that it is cold: their usual requests alone may be 0.8 of that rate.
+  /// Shares of the rate that a cold engine sustains. The rest is reserved for hosts that don't know
+  /// yet that it is cold; their regular traffic alone may reach 0.8 of that rate.
   double m_ownRateShare = 0.3;
   double m_assignedRateShare = 0.2;
-  /// An engine's word of its state is so old at most when it arrives: it writes every second or so,
-  /// and the directory is read as often. A suspicion lasts so much longer than an engine is cold.
+  /// Maximum age of an engine's state report on arrival: engines write about once a second, and the
+  /// directory is read as often. The suspicion of a restart lasts this much longer than the cold
+  /// phase.
   base::Duration m_maxStateAge = std::chrono::milliseconds(2500);
-  /// An engine that hosts used as warm until now gets nothing for so long after this host heard:
-  /// the others hear of it up to m_maxStateAge apart and send what is usual until then.
+  /// Pause before the first request to an engine that was in use as warm. Other hosts may learn of
+  /// the cold start up to m_maxStateAge later and send their regular traffic until then.
   base::Duration m_holdTime = std::chrono::milliseconds(1000);
 };
 
-/// @brief Which engines are cold, and what this host may send them. Pure.
+/// @brief Tracks cold engines and limits the requests that this host sends them. Does no I/O.
 ///
-/// An engine that has just started bears a few requests a second in all and crashes beyond. No host
-/// sees what the others send, and news of an engine's state is up to some seconds old. So each cold
-/// engine has a few hosts that may send to it, each with a fixed part of what it bears and a pause
-/// after each request; all others send nothing there until it is warm.
+/// An engine that has just started sustains only a few requests a second in total and crashes above
+/// that rate. Hosts don't see each other's requests, and reports of an engine's state are up to a
+/// few seconds old. So only a few hosts may send to a cold engine, each at a fixed share of the
+/// sustained rate with a pause after each request; all others wait until it is warm.
 class ColdStarts
 {
 public:
@@ -48,32 +49,33 @@
   {
   }
 
-  /// @brief The engine said for how long it stays cold; its latest word counts.
-  /// @param aRemaining zero: it is warm
-  /// @param aIsNew no host has used it before
+  /// @brief The engine reported how long it stays cold. The latest report applies.
+  /// @param aRemaining zero if it is warm
+  /// @param aIsNew whether no host has used the engine before
   void OnColdTimeReported(const std::string& aEngine,
                           base::Duration aRemaining,
                           bool aIsNew,
                           base::TimePoint aNow);
-  /// @brief It may have started anew, whatever it said before: it was not reached, or nobody has
-  /// sent it anything for long. What it says does not end this: its word may be older.
-  /// @param aColdFor after a start
+  /// @brief The engine may have restarted, because it was unreachable or has had no requests for
+  /// long. Reports don't end the suspicion, since they may be older than the restart.
+  /// @param aColdFor duration of the cold phase after a start
   void OnRestartSuspected(const std::string& aEngine,
                           base::Duration aColdFor,
                           base::TimePoint aNow);
   void Forget(const std::string& aEngine);
 
   [[nodiscard]] bool IsCold(const std::string& aEngine, base::TimePoint aNow) const;
-  /// @brief Whether the pause after the last request of that kind is over.
+  /// @brief Whether the pause after the last request from this source is over.
   [[nodiscard]] bool MaySend(const std::string& aEngine,
                              ColdTrafficSource aSource,
                              base::TimePoint aNow) const;
-  /// @param aColdRate requests a second that the engine bears while cold, of all hosts together
+  /// @param aColdRate requests a second, from all hosts together, that the engine sustains while
+  /// cold
   void OnSent(const std::string& aEngine,
               ColdTrafficSource aSource,
               double aColdRate,
               base::TimePoint aNow);
-  /// @brief Hosts that may send to one cold engine by their own choice.
+  /// @brief Number of hosts that may send to a cold engine on their own decision.
   [[nodiscard]] std::size_t SendersPerEngine() const { return m_options.m_sendersPerEngine; }
 
 private:
@@ -85,7 +87,7 @@
     base::TimePoint m_nextAssigned{};
   };
 
-  /// Nothing is sent for a while if it was warm until now.
+  /// Starts the hold time if the engine was considered warm until now.
   void HoldIfWarm(const std::string& aEngine, base::TimePoint aNow);
 
   ColdStartOptions m_options;
--- a/include/ferrytray/routing/endpoint_tracker.hpp
+++ b/include/ferrytray/routing/endpoint_tracker.hpp
@@ -12,15 +12,17 @@
 
 struct EndpointTrackerOptions
 {
-  base::Duration m_initialBackoff = std::chrono::milliseconds(500); ///< after it was not reached
+  base::Duration m_initialBackoff = std::chrono::milliseconds(500); ///< doubles per failure
   base::Duration m_maxBackoff = std::chrono::milliseconds(4000);
-  /// Until an endpoint has told its own timeout.
+  /// Upper limit, and the value for endpoints that have not announced an idle timeout.
   base::Duration m_maxIdle = std::chrono::milliseconds(4000);
-  base::Duration m_idleMargin = std::chrono::milliseconds(1000); ///< kept from what it told
-  base::Duration m_fullBackoff = std::chrono::milliseconds(150); ///< after it refused as full
+  /// Subtracted from the announced idle timeout.
+  base::Duration m_idleMargin = std::chrono::milliseconds(1000);
+  /// After a refusal for lack of capacity.
+  base::Duration m_fullBackoff = std::chrono::milliseconds(150);
 };
 
-/// @brief What this host knows of each endpoint from its own requests.
+/// @brief State of each endpoint as observed by this host's own requests.
 class EndpointTracker
 {
 public:
@@ -29,17 +31,17 @@
   {
   }
 
-  /// @param aWork see WorkOf(); the same at the end
+  /// @param aWork see WorkOf(); OnEnded() must get the same value
   void OnSent(const std::string& aEndpoint, Work aWork);
   void OnEnded(const std::string& aEndpoint, Work aWork);
   void OnReply(const std::string& aEndpoint, base::TimePoint aNow);
   void OnUnreachable(const std::string& aEndpoint, base::TimePoint aNow);
   void OnFull(const std::string& aEndpoint, base::TimePoint aNow);
-  /// @brief It told after how long it closes idle connections.
+  /// @brief The endpoint announced after how long it closes idle connections.
   void OnIdleTimeout(const std::string& aEndpoint, base::Duration aTimeout);
   void Forget(const std::string& aEndpoint);
 
-  /// @brief Calls with each endpoint that has open requests, and their work.
+  /// @brief Calls aCall(endpoint, work) for each endpoint that has open requests.
   template<typename Call>
   void ForEachWithOpenRequests(const Call& aCall) const
   {
@@ -51,19 +53,19 @@
   }
   [[nodiscard]] Work WorkOfOpenRequests(const std::string& aEndpoint) const;
   [[nodiscard]] std::uint32_t OpenRequests(const std::string& aEndpoint) const;
-  /// @brief How long a connection to it may have been idle and still be used: what it closes at
-  /// that very moment is lost for good if it may not be sent twice.
+  /// @brief Maximum idle time of a connection that may be reused. A request sent while the endpoint
+  /// closes the connection is lost unless it may be retried.
   [[nodiscard]] base::Duration MaxIdle(const std::string& aEndpoint) const;
   [[nodiscard]] bool IsAvoided(const std::string& aEndpoint, base::TimePoint aNow) const;
-  /// @brief Whether it has answered this host since then.
+  /// @brief Whether the endpoint has replied to this host at or after aThen.
   [[nodiscard]] bool AnsweredSince(const std::string& aEndpoint, base::TimePoint aThen) const;
 
 private:
   struct Entry
   {
     std::uint32_t m_openRequests = 0;
-    Work m_work = 0;                         ///< of the open ones
-    std::uint32_t m_consecutiveFailures = 0; ///< in a row
+    Work m_work = 0; ///< of the open requests
+    std::uint32_t m_consecutiveFailures = 0;
     std::optional<base::TimePoint> m_backoffUntil;
     std::optional<base::TimePoint> m_repliedAt;
     std::optional<base::Duration> m_idleTimeout;
--- a/include/ferrytray/routing/estimate.hpp
+++ b/include/ferrytray/routing/estimate.hpp
@@ -6,30 +6,31 @@
 
 namespace ferrytray::routing {
 
-/// @brief How a worker comes by the context, and what that is expected to cost.
+/// @brief How a worker obtains the context of a prompt, and the expected cost.
 struct Plan
 {
-  std::uint32_t m_restoreBlocks = 0; ///< blocks from the store, after those the worker has
+  std::uint32_t m_restoreBlocks = 0; ///< imported from the store, after the cached ones
   std::uint32_t m_recomputeTokens = 0;
-  base::Duration m_firstToken{}; ///< from now until the first token
-  base::Duration m_engineTime{}; ///< prefill that the request puts on the worker
+  base::Duration m_firstToken{}; ///< time to first token
+  base::Duration m_engineTime{}; ///< prefill time on the worker
   double m_linkBytes = 0;
-  double m_cost = 0; ///< weighted; the lowest wins
+  double m_cost = 0; ///< weighted sum; lower is better
 };
 
-/// @brief How long a worker's queue is now, by a report that lags.
+/// @brief Estimates a worker's current queue wait from its last load report.
 ///
-/// The queue in the report has been worked on since, and what this gate sent since is not in it.
-/// @param aMaxReportAge reports older than this say nothing; the queue is then what was sent since
+/// Subtracts the work done since the report and adds what this gate has sent since.
+/// @param aMaxReportAge older reports are ignored; only the work sent since then counts
 base::Duration QueueWait(const WorkerView& aWorker, base::Duration aMaxReportAge);
 
-/// @brief The cheapest way for a worker to come by the context: recompute it, restore it, or
+/// @brief Finds the cheapest way for a worker to obtain the context: recompute it, restore it, or
 /// restore a prefix and recompute the rest.
 ///
-/// An import runs while the request waits in the worker's queue, so the first token waits for the
-/// longer of the two. The cost is piecewise linear in the restored blocks, so only the ends
-/// and the break point (where the import lasts just as long as the queue) are looked at.
-/// @return empty when the worker cannot be used
+/// The import overlaps with the wait in the worker's queue, so the first token waits for the longer
+/// of the two. The cost is piecewise linear in the number of restored blocks, so it suffices to
+/// compare both ends and the break points: where the import takes as long as the queue, and where
+/// the first token just meets its target.
+/// @return empty if the worker is not usable
 std::optional<Plan> CheapestPlan(const RequestShape& aRequest,
                                  const WorkerView& aWorker,
                                  const StoreView& aStore,
--- a/include/ferrytray/routing/prefill_queues.hpp
+++ b/include/ferrytray/routing/prefill_queues.hpp
@@ -14,58 +14,60 @@
 
 struct PrefillQueueOptions
 {
-  /// Prompt tokens that an engine reads in a millisecond, before one was seen to. The slowest kind
-  /// of engine in use; a figure that is too low spreads prompts evenly, one too high at random.
+  /// Initial prefill rate (prompt tokens per millisecond), that of the slowest engine type in use.
+  /// An estimate that is too low spreads prompts evenly, one that is too high at random.
   double m_tokensPerMillisecond = 40;
-  /// Each observed reading moves the figure by this part.
+  /// Smoothing factor of the moving average of observed prefill rates.
   double m_rateSmoothing = 0.02;
-  /// A prompt may wait so much longer at its home than elsewhere: a fetch of its parts, which the
-  /// home may hold, takes about as long.
+  /// A prompt goes to its home if the wait there is at most this much longer than elsewhere: the
+  /// home may have its parts cached, and fetching them takes about this long.
   base::Duration m_homeWaitTolerance = std::chrono::milliseconds(40);
-  /// An engine whose memory is taken is as good as one where a prompt waits so long to be read:
-  /// some prompts wait there for another's whole answer. It grows from m_penaltyStartFill of the
-  /// memory on; below, prompts begin at once, and their home is worth more to them.
+  /// An engine with full memory is rated as this much extra wait, since some prompts there wait
+  /// until another request completes. The penalty grows linearly from m_penaltyStartFill on; below
+  /// it, prompts start immediately, and their home matters more.
   base::Duration m_fullMemoryPenalty = std::chrono::milliseconds(400);
   double m_penaltyStartFill = 0.5;
-  /// What an engine was given counts as held by it on top of what is told of it until hosts have
-  /// told of that, too: two questions between hosts.
+  /// Assigned tokens are added to the reported load of an engine for this long, until the hosts'
+  /// reports include them: two query intervals between hosts.
   base::Duration m_reportLag = std::chrono::milliseconds(450);
-  /// For so long after an engine was given a part to read no store has it: saved and told of.
+  /// Time from the assignment of a part until it has been prefilled, saved and announced. Until
+  /// then no store has it.
   base::Duration m_partSaveTime = std::chrono::milliseconds(1500);
-  /// An engine's queue is taken to be no longer; a wrong figure wears off in this time.
+  /// Upper limit of an engine's estimated wait, so that errors disappear within this time.
   base::Duration m_maxWait = std::chrono::milliseconds(3000);
-  /// Engines and parts remembered; older ones are dropped beyond.
+  /// Limit of tracked engines, and of tracked parts, above which expired entries are dropped.
   std::size_t m_maxEntries = 8192;
 };
 
-/// @brief An engine that a prompt may be given to.
+/// @brief An engine that a prompt may be assigned to.
 struct PrefillEngine
 {
   std::string m_name;               ///< incarnation
-  std::uint64_t m_heldTokens = 0;   ///< by open requests: as told, and as given since
-  std::uint64_t m_memoryTokens = 0; ///< tokens; 0: not known
+  std::uint64_t m_heldTokens = 0;   ///< by open requests: reported, and assigned since
+  std::uint64_t m_memoryTokens = 0; ///< capacity; 0: unknown
 };
 
-/// @brief A prompt to be given to an engine.
+/// @brief A prompt to be assigned to an engine.
 struct PrefillJob
 {
   std::string m_key;                    ///< of its long shared part
-  std::uint32_t m_unreportedTokens = 0; ///< that it will hold, and that hosts have to tell of yet
-  std::uint32_t m_prefillTokens = 0;    ///< to be read: all but what stores hold
-  std::uint32_t m_unsharedTokens = 0;   ///< shared with no other request
+  std::uint32_t m_unreportedTokens = 0; ///< memory it will use, not in reports yet
+  std::uint32_t m_prefillTokens = 0;    ///< to be prefilled: all that no store holds
+  std::uint32_t m_unsharedTokens = 0;   ///< not shared with other requests
 };
 
-/// @brief Where a prompt goes.
+/// @brief The engine that a prompt is assigned to.
 struct PrefillChoice
 {
   std::size_t m_engine = 0; ///< index into the candidates
-  std::string m_holder;     ///< another candidate that read the shared part lately, or empty
-  bool m_free = false;      ///< nothing waits there
+  std::string m_holder;     ///< other candidate that recently prefilled the shared part, or empty
+  bool m_free = false;      ///< its estimated wait is zero
 };
 
-/// @brief How long prompts wait at engines before they are read, kept by whoever gives the prompts
-/// out: exact as of now, where what hosts tell each other is some hundred milliseconds old, longer
-/// than a prompt takes to be read. Pure.
+/// @brief Estimates the prefill queue of each engine and assigns prompts to engines. Does no I/O.
+///
+/// It belongs to the host that assigns the prompts, so its queues are current. Load reports between
+/// hosts are a few hundred milliseconds old, which is longer than the prefill of a prompt.
 class PrefillQueues
 {
 public:
@@ -75,17 +77,18 @@
   {
   }
 
-  /// @brief Gives a prompt to the candidate where it begins first, or to its home or to whoever
-  /// reads its part already if it begins there little later.
+  /// @brief Assigns a prompt to the candidate with the lowest cost, or to its home or the engine
+  /// that is prefilling its shared part if that costs only little more.
   /// @return empty without candidates
   std::optional<PrefillChoice> Assign(const PrefillJob& aJob,
                                       std::span<const PrefillEngine> aEngines,
                                       base::TimePoint aNow);
-  /// @brief Tokens that an engine was given and that hosts have not told of yet.
+  /// @brief Tokens assigned to an engine that hosts have not reported yet.
   [[nodiscard]] std::uint64_t UnreportedTokens(const std::string& aEngine, base::TimePoint aNow);
-  /// @brief A prompt that found no queue began after so long.
+  /// @brief Updates the prefill rate by a prompt that found no queue.
+  /// @param aDuration time until its answer began
   void OnPrefilled(std::uint32_t aTokens, base::Duration aDuration);
-  /// @brief Until a prompt that is given to this engine now would begin to be read.
+  /// @brief Time until the prefill of a prompt assigned to this engine now would start.
   [[nodiscard]] base::Duration WaitAt(const std::string& aEngine, base::TimePoint aNow) const;
 
 private:
@@ -103,9 +106,9 @@
   };
 
   [[nodiscard]] base::Duration PrefillTime(std::uint32_t aTokens) const;
-  /// What a prompt that goes there is expected to lose.
+  /// Expected wait, including the penalty for memory in use.
   [[nodiscard]] base::Duration CostAt(const PrefillEngine& aEngine, base::TimePoint aNow) const;
-  /// The candidate that reads the part of this key now, or has just read it.
+  /// The candidate that is prefilling the part with this key or has recently done so.
   [[nodiscard]] std::optional<std::size_t> RecentPrefillEngine(const std::string& aKey,
                                                                std::span<const std::string> aNames,
                                                                base::TimePoint aNow) const;
@@ -121,9 +124,9 @@
   double m_tokensPerMillisecond;
   std::unordered_map<std::string, base::TimePoint> m_busyUntil; ///< by engine
   std::unordered_map<std::string, LastPrefill> m_lastPrefills;  ///< by key
-  std::deque<Assignment> m_assignments;                         ///< lately, in order of time
+  std::deque<Assignment> m_assignments;                         ///< unreported ones, oldest first
   std::unordered_map<std::string, std::uint64_t>
-    m_assignedTokensByEngine; ///< by engine, of m_assignments
+    m_assignedTokensByEngine; ///< sums over m_assignments
 };
 
 } // namespace ferrytray::routing
--- a/include/ferrytray/routing/rendezvous.hpp
+++ b/include/ferrytray/routing/rendezvous.hpp
@@ -10,11 +10,12 @@
 
 namespace ferrytray::routing {
 
-/// @brief Picks homes by rendezvous hashing: when a host comes or goes, only its share moves.
-/// @param aKey what is placed, such as a context's first block
+/// @brief Selects the homes of a key by rendezvous hashing: if a candidate is added or removed,
+/// only its share of the keys moves.
+/// @param aKey such as the digest of a context's first block
 /// @param aNames the candidates
-/// @param aCount how many homes
-/// @return indexes into aNames, best first; fewer when there are fewer names
+/// @param aCount number of homes
+/// @return indexes into aNames, highest score first; fewer if there are fewer candidates
 std::vector<std::size_t> RendezvousHomes(const base::Digest128& aKey,
                                          std::span<const std::string> aNames,
                                          std::size_t aCount);
--- a/include/ferrytray/routing/retention.hpp
+++ b/include/ferrytray/routing/retention.hpp
@@ -10,26 +10,26 @@
 
 namespace ferrytray::routing {
 
-/// @brief Learns how long an account's users stay away, as a histogram of return gaps.
+/// @brief Histogram of the intervals after which an account's contexts are used again.
 class ReturnHistogram
 {
 public:
-  /// @brief A context came back after a gap.
+  /// @brief A context was used again after an interval.
   void OnReturn(base::Duration aGap);
-  /// @brief A context was not seen again.
+  /// @brief A context was dropped without having been used again.
   void OnNotReturned() { m_notReturned = m_notReturned * kDecay + 1; }
-  /// @brief The chance that a context idle for so long comes back within a horizon.
+  /// @brief Probability that a context that is idle for aIdle is used again within aHorizon.
   [[nodiscard]] double ReturnProbability(base::Duration aIdle, base::Duration aHorizon) const;
-  /// @brief The best returns for each second of keeping, over every span that it might be kept.
+  /// @brief Highest expected number of returns per second of storage over all storage durations.
   ///
-  /// An index policy: a context that returns after ten minutes is worth those ten minutes, one
-  /// that should have returned by now is worth little.
+  /// This is an index policy: a context that usually returns after ten minutes is worth storing for
+  /// ten minutes, one that should have returned by now is worth little.
   [[nodiscard]] double ReturnRate(base::Duration aIdle) const;
 
   static constexpr std::size_t kBuckets = 24;
 
 private:
-  static constexpr double kDecay = 0.999; // old habits fade
+  static constexpr double kDecay = 0.999; // weight of older observations after each new one
   [[nodiscard]] double CountAfter(std::size_t aBucket, double aFrom) const;
   static std::size_t BucketOf(base::Duration aGap);
 
@@ -37,7 +37,7 @@
   double m_notReturned = 0;
 };
 
-/// @brief What keeping a context would save.
+/// @brief A context that may be kept in a store.
 struct RetentionCandidate
 {
   double m_bytes = 0;
@@ -45,25 +45,27 @@
   base::Duration m_idle{};
 };
 
-/// @brief The engine seconds that a byte of store saves a second: keep what has most.
+/// @brief Engine seconds saved per second and byte of storage.
+///
+/// The contexts with the highest values are kept.
 double RetentionValue(const RetentionCandidate& aContext, const ReturnHistogram& aReturns);
 
-/// @brief The state of a store when an export is considered.
+/// @brief Load of a store when an export to it is considered.
 struct StorePressure
 {
   double m_freeBytes = 0;
-  double m_lowestValue = 0;       ///< RetentionValue of what would be displaced
-  base::Duration m_importQueue{}; ///< imports waiting on its link
+  double m_lowestValue = 0;       ///< RetentionValue() of what would be evicted
+  base::Duration m_importQueue{}; ///< wait of imports on its link
 };
 
 struct RetentionOptions
 {
-  base::Duration m_maxImportQueue =
-    std::chrono::milliseconds(200); ///< imports waiting longer stop exports
-  double m_minValue = 0;            ///< what a byte must save a second at least
+  /// No exports while imports wait longer than this.
+  base::Duration m_maxImportQueue = std::chrono::milliseconds(200);
+  double m_minValue = 0; ///< minimum RetentionValue()
 };
 
-/// @brief Whether a context should be exported now.
+/// @brief Whether a context should be exported to the store now.
 bool ShouldExport(const RetentionCandidate& aContext,
                   const ReturnHistogram& aReturns,
                   const StorePressure& aStore,
--- a/include/ferrytray/routing/work.hpp
+++ b/include/ferrytray/routing/work.hpp
@@ -4,24 +4,25 @@
 
 namespace ferrytray::routing {
 
-/// @brief How much an open request weighs when endpoints are compared, in kTokensPerWork prompt
-/// tokens of engine memory: that is what runs out first, since a long prompt holds its memory until
-/// the last token of its answer, and answers get slower the more of them an engine makes.
+/// @brief Load of open requests, in units of kTokensPerWork prompt tokens of engine memory.
+///
+/// Memory is the scarcest resource: a long prompt holds it until the last token of its answer, and
+/// answers get slower the more of them an engine generates at once.
 using Work = std::uint32_t;
 
-/// Fine enough to tell short prompts apart, coarse enough for 16 bits an endpoint on the wire.
+/// Fine enough to distinguish short prompts, coarse enough for 16 bits per endpoint on the wire.
 inline constexpr std::uint32_t kTokensPerWork = 128;
 
-/// Any request, also one without a prompt: a slot and a share of each step (work).
+/// Base load of any request, with or without a prompt: a slot and a share of each engine step.
 inline constexpr Work kWorkPerRequest = 2;
 
-/// @param aPromptTokens zero if it is no prompt
+/// @param aPromptTokens zero for requests without a prompt
 [[nodiscard]] constexpr Work WorkOf(std::uint32_t aPromptTokens)
 {
   return kWorkPerRequest + aPromptTokens / kTokensPerWork;
 }
 
-/// @return about the tokens of engine memory that this much work holds
+/// @return approximate engine memory held by this much work, in tokens
 [[nodiscard]] constexpr std::uint64_t TokensOf(Work aWork)
 {
   return std::uint64_t{ aWork } * kTokensPerWork;
--- a/src/ferrytray/routing/cache_hints.cpp
+++ b/src/ferrytray/routing/cache_hints.cpp
@@ -48,7 +48,7 @@
 {
   Worker snapshot;
   snapshot.m_sequence = aSequence;
-  // Listed most recent first; added in reverse so that the order of use is kept.
+  // aBlocks is ordered most recent first, and Add() puts each block in front.
   for (auto block = aBlocks.rbegin(); block != aBlocks.rend(); ++block) {
     Add(snapshot, *block);
   }
--- a/src/ferrytray/routing/choose.cpp
+++ b/src/ferrytray/routing/choose.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Splits random bits into one small draw after another.
+/// Derives a sequence of random numbers from one random seed.
 class XorshiftRandom
 {
 public:
@@ -17,7 +17,7 @@
 
   std::size_t Below(std::size_t aBound)
   {
-    // xorshift: a few draws from bits that the caller made random.
+    // xorshift64 is sufficient for a few draws from a random seed.
     m_bits ^= m_bits << 13U;
     m_bits ^= m_bits >> 7U;
     m_bits ^= m_bits << 17U;
@@ -35,10 +35,11 @@
   });
 }
 
-// Up to so many candidates every plan is worked out, for the decision log.
+// Up to this many candidates, all plans are computed if the decision log wants them.
 constexpr std::size_t kMaxCandidatesWithoutPruning = 64;
 
-/// What a worker costs at the least: its queue, and computing what is kept nowhere.
+/// Lower bound of a worker's cost: its queue wait and the prefill of tokens that are neither cached
+/// nor stored.
 double CostLowerBound(const RequestShape& aRequest,
                       const WorkerView& aWorker,
                       const StoreView& aStore,
@@ -94,7 +95,7 @@
   for (std::size_t i = 0; i < aOptions.m_sampleSize; ++i) {
     consider(homes + draws.Below(rest));
   }
-  // The sample may have met only workers that cannot be used.
+  // The sample may contain no usable worker.
   for (std::size_t i = homes; !best && i < aWorkers.size(); ++i) {
     consider(i);
   }
--- a/src/ferrytray/routing/cold_starts.cpp
+++ b/src/ferrytray/routing/cold_starts.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Rates below this bear no request at all (a second).
+/// Lower limit of the request rate (requests a second), which bounds the pause.
 constexpr double kMinRate = 1e-3;
 
 } // namespace
--- a/src/ferrytray/routing/cold_starts_test.cpp
+++ b/src/ferrytray/routing/cold_starts_test.cpp
@@ -28,7 +28,7 @@
   CHECK_FALSE(m_cold.IsCold("e", kNow + 3s));
   m_cold.OnColdTimeReported("e", 0s, true, kNow + 1s);
   CHECK_FALSE(m_cold.IsCold("e", kNow + 1s));
-  m_cold.OnColdTimeReported("e", 3s, true, kNow + 2s); // again, without a start
+  m_cold.OnColdTimeReported("e", 3s, true, kNow + 2s); // cold again without a restart
   CHECK(m_cold.IsCold("e", kNow + 4s));
 }
 
@@ -55,7 +55,7 @@
       m_cold.OnSent("e", ColdTrafficSource::Assigned, kColdRate, at);
     }
   }
-  // A host's part is 2.8 a second, and so is that of the host that gives out long prompts.
+  // 14 * 0.3 / 2 = 2.1 own and 14 * 0.2 = 2.8 assigned requests a second.
   LONGS_EQUAL(3, own);
   LONGS_EQUAL(3, assigned);
 }
@@ -79,7 +79,8 @@
   m_cold.OnColdTimeReported("e", 3s, false, kNow);
   CHECK_FALSE(m_cold.MaySend("e", ColdTrafficSource::Own, kNow + 900ms));
   CHECK_FALSE(m_cold.MaySend("e", ColdTrafficSource::Assigned, kNow + 900ms));
-  m_cold.OnColdTimeReported("e", 2s, false, kNow + 900ms); // its next word does not begin that anew
+  // A further report does not restart the hold time.
+  m_cold.OnColdTimeReported("e", 2s, false, kNow + 900ms);
   CHECK(m_cold.MaySend("e", ColdTrafficSource::Own, kNow + 1s));
   m_cold.OnRestartSuspected("f", 3s, kNow);
   CHECK_FALSE(m_cold.MaySend("f", ColdTrafficSource::Own, kNow + 900ms));
--- a/src/ferrytray/routing/endpoint_tracker.cpp
+++ b/src/ferrytray/routing/endpoint_tracker.cpp
@@ -55,7 +55,7 @@
   if (found == m_entries.end() || !found->second.m_idleTimeout) {
     return m_options.m_maxIdle;
   }
-  // Whole seconds are the finest that the client can tell apart.
+  // The HTTP client measures idle times in whole seconds.
   constexpr base::Duration kMinIdle = std::chrono::seconds(1);
   const base::Duration safe = *found->second.m_idleTimeout - m_options.m_idleMargin;
   return std::clamp(safe, kMinIdle, m_options.m_maxIdle);
--- a/src/ferrytray/routing/engine_memory_test.cpp
+++ b/src/ferrytray/routing/engine_memory_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// An engine of the size that is common here, and prompts of 12,000 and 2,400 tokens.
+// Sizes in tokens; the engine has a typical amount of memory.
 constexpr std::uint64_t kMemory = 70'000;
 constexpr std::uint32_t kLong = 12'000;
 constexpr std::uint32_t kShort = 2400;
--- a/src/ferrytray/routing/estimate.cpp
+++ b/src/ferrytray/routing/estimate.cpp
@@ -36,7 +36,7 @@
     ready = std::max(aWait, import);
   }
   plan.m_firstToken = aWorker.m_roundTrip + ready + plan.m_engineTime;
-  // Context that is kept somewhere and computed all the same is what the share recomputed counts.
+  // The recompute weight applies only to tokens that are cached or stored but recomputed anyway.
   const std::uint32_t kept = std::max(cached, std::min(aStore.m_storedBlocks, aRequest.m_blocks));
   const std::uint32_t recomputedReusable =
     (kept - std::min(kept, cached + plan.m_restoreBlocks)) * aRequest.m_tokensPerBlock;
@@ -47,7 +47,7 @@
   return plan;
 }
 
-/// The blocks whose import lasts just as long as the queue.
+/// Number of blocks that can be imported while the request waits in the queue.
 std::uint32_t BlocksImportedDuringWait(const RequestShape& aRequest,
                                        const StoreView& aStore,
                                        base::Duration aWait)
@@ -60,7 +60,7 @@
   return static_cast<std::uint32_t>(std::min(blocks, static_cast<double>(aRequest.m_blocks)));
 }
 
-/// The most blocks whose import still lets the first token come by the target.
+/// Maximum number of blocks that can be imported without missing the first-token target.
 std::uint32_t BlocksImportedWithinTarget(const RequestShape& aRequest,
                                          const WorkerView& aWorker,
                                          const StoreView& aStore,
@@ -88,8 +88,8 @@
 {
   const bool trusted = aWorker.m_reportAge <= aMaxReportAge;
   const base::Duration reported = trusted ? aWorker.m_reportedWait : base::Duration::zero();
-  // The queue in the report has been worked on since; what was sent since and has not been
-  // answered is there still, however old the report is.
+  // The worker has processed part of the reported queue since. Unanswered requests sent since then
+  // are still queued, however old the report is.
   const base::Duration processed = std::max(aWorker.m_reportAge, aWorker.m_completedSinceReport);
   const base::Duration left = std::max(reported - processed, base::Duration::zero());
   return left + aWorker.m_sentSinceReport + aWorker.m_swapWait;
--- a/src/ferrytray/routing/placement.cpp
+++ b/src/ferrytray/routing/placement.cpp
@@ -18,7 +18,7 @@
       usable.push_back(i);
     }
   }
-  // When every candidate was missed lately, the guess is worth less than a try.
+  // If all candidates are avoided, trying one is better than refusing the request.
   for (std::size_t i = 0; usable.empty() && i < aCandidates.size(); ++i) {
     usable.push_back(i);
   }
--- a/src/ferrytray/routing/placement_test.cpp
+++ b/src/ferrytray/routing/placement_test.cpp
@@ -71,8 +71,8 @@
   LONGS_EQUAL(withFreeMemory, routing::PlaceAtHome(m_candidates, "key", {})->m_chosen);
 }
 
-// Load: many hosts that decide alike on late reports. If each sent what its homes cannot take to
-// the least busy engine of all, that one would get the overflow of every host at once.
+// Many hosts decide on the same delayed reports. If each sent the overflow of its homes to the
+// least loaded engine of all, that engine would get the overflow of every host at once.
 TEST(Placement, OverflowIsNotConcentratedOnASingleIdleEngine)
 {
   constexpr std::size_t kEngines = 60;
@@ -90,7 +90,7 @@
     sentThere += place->m_chosen == 7 ? 1 : 0;
     refused += engines[place->m_chosen].m_full ? 1 : 0;
   }
-  // Four homes of sixty: one key in fifteen has it among them.
+  // With 4 homes among 60 engines, one key in 15 has the idle engine as a home.
   CHECK(sentThere > 0);
   CHECK(sentThere < kKeys / 10);
   LONGS_EQUAL(kKeys, sentThere + refused);
--- a/src/ferrytray/routing/prefill_queues_test.cpp
+++ b/src/ferrytray/routing/prefill_queues_test.cpp
@@ -62,7 +62,7 @@
   const std::string first = Assign("k", 16'000, 4'000);
   m_now += 250ms;
   STRCMP_EQUAL(first.c_str(), Assign("k", 16'000, 4'000).c_str());
-  // It waits for what is left of the first one, and reads its own part only.
+  // It waits for the rest of the first prefill and then prefills only its unshared part.
   CHECK(m_queues.WaitAt(first, m_now) == 250ms);
 }
 
@@ -93,7 +93,7 @@
   CHECK(m_queues.WaitAt("e0", m_now) <= 3s);
 }
 
-// Load: answers are long, so engines are full of prompts that have been read.
+// With long answers, engines are full of prompts whose prefill is complete.
 TEST(PrefillQueues, AvoidsAnEngineWhoseMemoryIsFull)
 {
   m_engines = { { "full", 9'000, 10'000 }, { "reads", 1'000, 10'000 } };
@@ -110,7 +110,8 @@
   LONGS_EQUAL(0, m_queues.UnreportedTokens(first, m_now + 350ms));
 }
 
-// Fault: a prompt that hosts know of already left an entry behind that was forgotten twice.
+// Guards against a former fault: a prompt without unreported tokens left an assignment behind,
+// whose expiry then accessed an entry that had already been erased.
 TEST(PrefillQueues, FullyReportedPromptLeavesNoAssignmentToExpire)
 {
   m_engines = Engines(1);
@@ -122,9 +123,9 @@
   LONGS_EQUAL(0, m_queues.UnreportedTokens("e0", m_now + 1s));
 }
 
-// Load: 42 long prompts a second for 27 engines, each read for 0.25 s on the mean (spread like a
-// log-normal): engines read for 0.4 of the time. Given out by hash alone one in ten waits for over
-// 0.3 s, by the queues one in a hundred for over 0.08 s.
+// 42 long prompts a second arrive at 27 engines. Prefill times are log-normal (mean 0.25 s), so
+// engines are busy 0.4 of the time. With placement by hash alone, one prompt in ten waits over
+// 0.3 s; with queue estimates, one in a hundred waits over 0.08 s.
 TEST(PrefillQueues, LongPromptsRarelyWaitAtModerateLoad)
 {
   m_engines = Engines(27);
--- a/src/ferrytray/routing/retention.cpp
+++ b/src/ferrytray/routing/retention.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Bucket i holds gaps from 2^i to 2^(i+1) seconds, so 24 of them reach half a year.
+// Bucket i holds intervals from 2^i to 2^(i+1) seconds; 24 buckets cover half a year.
 double BucketStart(std::size_t aBucket)
 {
   return aBucket == 0 ? 0 : std::exp2(static_cast<double>(aBucket));
@@ -18,7 +18,8 @@
   return std::exp2(static_cast<double>(aBucket + 1));
 }
 
-// One return and one loss that were never seen keep an unknown account in the middle.
+// A prior of one return, spread over all buckets, and one loss gives accounts without history a
+// medium probability.
 constexpr double kPrior = 1.0 / ReturnHistogram::kBuckets;
 
 } // namespace
--- a/src/ferrytray/routing/routing_test.cpp
+++ b/src/ferrytray/routing/routing_test.cpp
@@ -31,7 +31,7 @@
   return { aBlocks, 0s, aBytesPerSecond, 1ms };
 }
 
-/// The naive twin: tries every number of blocks and writes the formula out anew.
+/// Reference implementation: evaluates the cost formula for every number of restored blocks.
 double BruteForceFirstToken(const RequestShape& aRequest,
                             const WorkerView& aWorker,
                             const StoreView& aStore)
@@ -75,7 +75,7 @@
 {
   WorkerView busy = IdleWorker();
   busy.m_reportedWait = 1s;
-  // 30 blocks take a second on this link, and recomputing a block is faster than importing it.
+  // 30 blocks take 1 s on this link, and recomputing a block is faster than importing it.
   const auto plan =
     routing::CheapestPlan(kLongRequest, busy, StoreWithBlocks(100, 3e7), kFirstTokenOnly, 10s);
   LONGS_EQUAL(29, plan->m_restoreBlocks);
@@ -102,7 +102,8 @@
 
 TEST(Estimate, FirstTokenTargetLimitsTheEffectOfTheRecomputeWeight)
 {
-  // A block takes 28.6 ms on this link and 25.6 ms to compute: the weight alone restores all.
+  // A block takes 28.6 ms to import and 25.6 ms to compute; without a target, the recompute weight
+  // causes a full restore.
   const StoreView slow = StoreWithBlocks(100, 3.5e7);
   const auto patient =
     routing::CheapestPlan(kLongRequest, IdleWorker(), slow, { 1, 0.3, 0, 0 }, 10s);
@@ -146,7 +147,7 @@
     store.m_linkQueue = std::chrono::milliseconds(*rc::gen::inRange(0, 3000));
     const auto plan = routing::CheapestPlan(request, worker, store, kFirstTokenOnly, 10s);
     const double naive = BruteForceFirstToken(request, worker, store);
-    // The break point is rounded down to a whole block, which can cost up to one block's time.
+    // The break point is rounded down to a whole block, which costs up to one block's time.
     const double oneBlock = std::max(256 / worker.m_tokensPerSecond, 1e6 / store.m_bytesPerSecond);
     RC_ASSERT(base::Seconds(plan->m_firstToken) >= naive - 1e-5);
     RC_ASSERT(base::Seconds(plan->m_firstToken) <= naive + oneBlock + 1e-5);
