--- a/include/ferrytray/cache/change_history.hpp
+++ b/include/ferrytray/cache/change_history.hpp
@@ -11,9 +11,10 @@
 
 namespace ferrytray::cache {
 
-/// @brief The newest changes of a store's contents, numbered for those who follow them here.
+/// @brief Bounded history of changes to a store's contents, for followers on other hosts.
 ///
-/// A series of numbers ends when the contents were replaced as a whole.
+/// Changes are numbered consecutively within a series. A new series starts when the contents are
+/// replaced as a whole.
 class ChangeHistory
 {
 public:
@@ -26,7 +27,7 @@
     }
   }
 
-  /// @brief The contents were replaced: nobody can go on from before.
+  /// @brief The contents were replaced, so that earlier positions are invalid.
   void StartSeries()
   {
     ++m_series;
@@ -34,7 +35,7 @@
     m_changes.clear();
   }
 
-  /// @brief The changes from a number on; empty if they are no longer kept, or of another series.
+  /// @brief The changes from a number on; empty if they were dropped or belong to another series.
   [[nodiscard]] std::optional<std::vector<StoreChange>> Since(std::uint64_t aSeries,
                                                               std::uint64_t aNumber) const
   {
@@ -50,7 +51,7 @@
   [[nodiscard]] std::uint64_t Next() const { return m_next; }
 
 private:
-  /// A follower asks several times a second; a store changes some tens of times a second.
+  /// Followers poll several times a second, and a store changes some tens of times a second.
   static constexpr std::size_t kMaxChanges = 512;
 
   std::uint64_t m_series = 1;
--- a/include/ferrytray/cache/contents_delta.hpp
+++ b/include/ferrytray/cache/contents_delta.hpp
@@ -10,23 +10,23 @@
 
 namespace ferrytray::cache {
 
-/// @brief How far a host has followed another host's account of one store.
+/// @brief Position in another host's history of changes to a store.
 struct ContentsCursor
 {
   std::string m_store;        ///< IP:PORT
-  std::uint64_t m_series = 0; ///< of the other host's ChangeHistory; zero: nothing yet
-  std::uint64_t m_next = 0;   ///< the first change that is wanted
+  std::uint64_t m_series = 0; ///< of the other host's ChangeHistory; zero: none yet
+  std::uint64_t m_next = 0;   ///< number of the next change
 };
 
-/// @brief What one host tells another of a store that it follows.
+/// @brief Changes to a store's contents that one host sends another.
 struct ContentsDelta
 {
   std::string m_store;                       ///< IP:PORT
-  std::uint64_t m_epoch = 0;                 ///< the store's
-  std::uint64_t m_series = 0;                ///< for the next cursor
-  std::uint64_t m_next = 0;                  ///< for the next cursor
-  bool m_whole = false;                      ///< the changes are the whole contents
-  base::Duration m_age{};                    ///< since the store said so
+  std::uint64_t m_epoch = 0;                 ///< epoch of the store
+  std::uint64_t m_series = 0;                ///< of the next cursor
+  std::uint64_t m_next = 0;                  ///< of the next cursor
+  bool m_whole = false;                      ///< m_changes is the whole contents
+  base::Duration m_age{};                    ///< since the store was read
   std::optional<std::int64_t> m_clockMillis; ///< the endpoints' common clock at the time of sending
   std::vector<StoreChange> m_changes;
 };
--- a/include/ferrytray/cache/part_planner.hpp
+++ b/include/ferrytray/cache/part_planner.hpp
@@ -14,30 +14,30 @@
 
 namespace ferrytray::cache {
 
-/// @brief A part of a prompt that is to be placed.
+/// @brief A part of a prompt to plan transfers for.
 struct PlannedPart
 {
   std::string m_id;
   std::uint32_t m_tokens = 0;
 };
 
-/// @brief What becomes of a part, and why it is read again if it is.
+/// @brief Whether a part is fetched, and if not, why it has to be prefilled.
 enum class PartOutcome : std::uint8_t
 {
-  Unshared,  ///< the request's own, or of a prompt with few shared tokens
-  Fetched,   ///< a store has it
-  Saved,     ///< no store has it; it is read and saved
-  OnItsWay,  ///< another request is having it saved
-  NoRoom,    ///< no store has room for it
-  NoContact, ///< what stores hold is not known well enough now
+  Unshared,  ///< the request's own part, or the prompt has too few shared tokens
+  Fetched,   ///< fetched from a store
+  Saved,     ///< in no store; saved after the prefill
+  OnItsWay,  ///< a save for another request is in progress
+  NoRoom,    ///< no store has capacity for it
+  NoContact, ///< no store's contents are known recently enough
 };
 
 inline constexpr std::size_t kPartOutcomes = 6;
 
-/// @brief The word for it in logs.
+/// @brief Name of the outcome in logs.
 std::string_view ToString(PartOutcome aOutcome);
 
-/// @brief Where one part may come from and go to; addresses (IP:PORT), empty for nowhere.
+/// @brief Source and destination of a part: addresses (IP:PORT), or empty for no transfer.
 struct PartTransfers
 {
   std::string m_fetchFrom;
@@ -45,13 +45,13 @@
   PartOutcome m_outcome = PartOutcome::Unshared;
 };
 
-/// @brief The moves of a prompt's parts, in their order.
+/// @brief Transfers of a prompt's parts, in the order of the parts.
 struct PartPlan
 {
   std::vector<PartTransfers> m_transfers;
   std::optional<std::int64_t> m_fetchDeadline; ///< on the endpoints' clock (ms)
   [[nodiscard]] bool Empty() const;
-  /// @brief Tokens by fate, in the order of PartOutcome.
+  /// @brief Number of tokens per outcome, in the order of PartOutcome.
   [[nodiscard]] std::array<std::uint64_t, kPartOutcomes> TokensByOutcome(
     std::span<const PlannedPart> aParts) const;
 };
@@ -61,29 +61,30 @@
 
 struct PlannerOptions
 {
-  /// With fewer shared tokens in all, a prompt is read in some milliseconds, less than its
-  /// transfers wait (tokens).
+  /// Prompts with fewer shared tokens are prefilled within milliseconds, which is less than their
+  /// transfers would wait.
   std::uint32_t m_minSharedTokens = 512;
 };
 
-/// @brief A prompt whose parts are to be placed.
+/// @brief A prompt to plan transfers for.
 struct PlannedPrompt
 {
-  /// In order; the last one is the request's own and is never saved.
+  /// In prompt order; the last one is the request's own part and is never saved.
   std::span<const PlannedPart> m_parts;
-  std::string m_scope; ///< under which its parts are cached
-  std::string m_home;  ///< another endpoint that may hold the parts (IP:PORT), or empty
-  base::Duration m_fetchTimeout = std::chrono::seconds(2); ///< later parts are of no use
+  std::string m_scope; ///< scope of its cached parts (see Scope)
+  std::string m_home;  ///< other endpoint that may hold the parts (IP:PORT), or empty
+  /// Fetches must complete within this time.
+  base::Duration m_fetchTimeout = std::chrono::seconds(2);
 };
 
-/// @brief Decides which parts a request fetches from stores and which it leaves in them. Pure.
+/// @brief Plans which parts a request fetches from stores and which it saves. Does no I/O.
 ///
-/// A prompt's shared parts are kept together, short ones, too: an engine uses a part that it has or
-/// fetches only if it has all parts before it, so a short part that is missing has the long one
-/// behind it read again. A token that is moved costs about a fiftieth of one that is read.
+/// All shared parts of a prompt are transferred, even short ones: an engine can use a cached or
+/// fetched part only if it has all parts before it, so a missing short part would force the prefill
+/// of the long part behind it. Transferring a token costs about a fiftieth of its prefill.
 ///
-/// A part's home store is named by weighted rendezvous hashing, so hosts agree on it without
-/// asking each other; it goes to the next one when its home has no room.
+/// The home store of a part is selected by weighted rendezvous hashing, so that hosts agree on it
+/// without communication. If the home has no capacity, the next store in order is used.
 class PartPlanner
 {
 public:
--- a/include/ferrytray/cache/scope.hpp
+++ b/include/ferrytray/cache/scope.hpp
@@ -9,22 +9,22 @@
 
 namespace ferrytray::cache {
 
-/// @brief Which requests may share cached parts: those of one model, of the same weights, and, for
-/// an isolated client account, of that account only.
+/// @brief Scope within which requests share cached parts: one model, one weight version and, for an
+/// isolated client account, that account only.
 struct Scope
 {
   std::string m_model;
   std::uint32_t m_weights = 0;
   std::string m_account; ///< empty: shared by all accounts that are not isolated
 
-  /// @brief MODEL/WEIGHTS or MODEL/WEIGHTS/ACCOUNT; different scopes have different texts.
+  /// @brief MODEL/WEIGHTS or MODEL/WEIGHTS/ACCOUNT; unique per scope.
   [[nodiscard]] std::string ToText() const
   {
     const std::string shared = m_model + "/" + std::to_string(m_weights);
     return m_account.empty() ? shared : shared + "/" + m_account;
   }
 
-  /// @brief Reads what ToText() wrote; empty for anything else.
+  /// @brief Parses the output of ToText(); empty for any other text.
   static std::optional<Scope> FromText(std::string_view aText)
   {
     const std::size_t first = aText.find('/');
--- a/include/ferrytray/cache/store_cleanup.hpp
+++ b/include/ferrytray/cache/store_cleanup.hpp
@@ -12,14 +12,14 @@
 
 struct CleanupOptions
 {
-  /// No request fetches parts of replaced weights once no engine runs them; this is how much longer
-  /// such a fetch may still be under way: the 1.2 s within which fetches have to end, and 1.5 s. An
-  /// engine takes no request while it loads, which is more than a second before it is known to run
-  /// the new weights.
+  /// Time after which no fetch of parts of replaced weights can be in progress any more: the
+  /// maximum fetch duration of 1.2 s and a margin of 1.5 s. In addition, an engine accepts no
+  /// requests while it loads weights, which starts more than a second before it is known to run
+  /// them.
   base::Duration m_gracePeriod = std::chrono::milliseconds(2700);
-  /// Parts freed by one call.
+  /// Parts freed by one request.
   std::size_t m_maxBatch = 512;
-  /// The same parts are asked for again only after this; their news take a moment.
+  /// Time between requests to a store, so that the events of freed parts can arrive.
   base::Duration m_retryInterval = std::chrono::milliseconds(1500);
 };
 
@@ -31,8 +31,9 @@
   std::vector<PartName> m_parts;
 };
 
-/// @brief Decides which parts nobody will ask for again: those of weights that no engine runs any
-/// more. Pure. Stores free nothing by themselves, so without this they fill up for good.
+/// @brief Selects the parts to free: those of weights that no engine runs any more. Does no I/O.
+///
+/// Stores free nothing by themselves and would otherwise fill up permanently.
 class StoreCleanup
 {
 public:
@@ -41,12 +42,12 @@
   {
   }
 
-  /// @brief What is to be freed now.
-  /// @param aOldestWeights by model, the oldest weights that an engine may still run
+  /// @brief Returns the parts to free now.
+  /// @param aOldestWeights by model, the oldest weight version that an engine may still run
   std::vector<FreeParts> Plan(const Stores& aStores,
                               const std::map<std::string, std::uint32_t>& aOldestWeights,
                               base::TimePoint aNow);
-  /// @brief A store was asked to free what was planned.
+  /// @brief The planned request was sent to a store.
   void OnFreeRequested(const std::string& aStore, base::TimePoint aNow);
 
 private:
--- a/include/ferrytray/cache/store_contents.hpp
+++ b/include/ferrytray/cache/store_contents.hpp
@@ -12,30 +12,31 @@
 
 namespace ferrytray::cache {
 
-/// @brief What the operators declare of a store.
+/// @brief Properties of a store from the operators' configuration.
 struct StoreTraits
 {
-  std::uint64_t m_tokens = 0;  ///< its room
-  double m_linkMegabits = 1.0; ///< a second; stores are only compared by it
+  std::uint64_t m_tokens = 0;  ///< capacity
+  double m_linkMegabits = 1.0; ///< per second; only compared between stores
 };
 
 struct ContentsOptions
 {
-  /// News older than this are too old to fetch by: the store may have restarted since. They count
-  /// from when they were asked for: two reads of 0.5 s and a pause, and the way over another host.
+  /// Fetches require events that are at most this old, since the store may have restarted in the
+  /// meantime. The age counts from the request for the events. Covers two reads of 0.5 s, the pause
+  /// between them and the relay by another host.
   base::Duration m_maxAge = std::chrono::milliseconds(1900);
-  /// The longest that a fetch may take, whatever its request asks for. Freeing parts and saving
-  /// after a restart wait for it; the callers' targets leave fetches less in any case.
+  /// Maximum duration of a fetch, whatever the request allows. Freeing parts, and saving after a
+  /// restart, wait for this long; the callers' latency targets leave less time to fetches anyway.
   base::Duration m_maxFetchTime = std::chrono::milliseconds(1200);
-  /// After a restart was noticed, nothing is saved for so long: until then another host may still
-  /// send fetches by the old contents, and a save under way must never be what they read.
-  /// Both times above, and half a second for what is in between.
+  /// Nothing is saved for this long after a restart was detected. Until then, other hosts may still
+  /// send fetches based on the old contents, which must never read a save in progress. Sum of the
+  /// two times above and a margin of 0.5 s.
   base::Duration m_saveDelayAfterRestart = std::chrono::milliseconds(3600);
-  /// Room taken by a save whose news have not come is counted for so long.
+  /// A requested save counts as used capacity for this long if no event confirms it.
   base::Duration m_pendingTimeout = std::chrono::milliseconds(8000);
 };
 
-/// @brief What one store is known to hold. Pure.
+/// @brief Tracks the contents of a store and decides what may be fetched or saved. Does no I/O.
 class StoreContents
 {
 public:
@@ -45,44 +46,45 @@
   {
   }
 
-  /// @brief News that follow what is known, or the whole contents.
-  /// @param aRequestedAt when they were asked for: a process that stood still may read an answer
-  /// late
+  /// @brief Applies events that continue the known contents, or replaces the contents.
+  /// @param aWhole whether the events list the whole contents
+  /// @param aRequestedAt when the events were requested; a suspended process may read the response
+  /// much later
   void OnEvents(const StoreEvents& aEvents,
                 bool aWhole,
                 base::TimePoint aRequestedAt,
                 base::TimePoint aNow);
-  /// @brief The same from another host that follows the store.
+  /// @brief Applies changes received from another host that follows the store.
   void OnDelta(const ContentsDelta& aDelta, base::TimePoint aRequestedAt, base::TimePoint aNow);
-  /// @brief What another host that has followed up to the cursor does not know yet; empty when
-  /// nothing was heard of the store.
+  /// @brief The changes after a cursor, or the whole contents if the cursor is invalid. Empty
+  /// before the first events of the store.
   [[nodiscard]] std::optional<ContentsDelta> DeltaSince(const ContentsCursor& aCursor,
                                                         base::TimePoint aNow) const;
-  /// @brief Up to where the other host's digests were followed.
+  /// @brief Position after the last delta from the other host.
   [[nodiscard]] const ContentsCursor& Cursor() const { return m_cursor; }
-  /// @brief Digests come from another host from now on.
+  /// @brief Resets the cursor when another host becomes the source of deltas.
   void ForgetCursor() { m_cursor = {}; }
-  /// @brief The store confirmed that it freed these. A few of its news never arrive, and what is
-  /// believed to be there would be freed again and again.
+  /// @brief The store confirmed that it freed these parts. Needed because some events are lost, and
+  /// the parts would then be freed again and again.
   void OnFreed(std::uint64_t aEpoch, std::span<const PartName> aParts);
-  /// @brief This host asked an endpoint to save a part here.
+  /// @brief This host asked an endpoint to save a part to the store.
   void OnSaveRequested(const PartName& aPart, std::uint32_t aTokens, base::TimePoint aNow);
 
-  /// @brief Whether what is known of the store is recent enough to go by.
+  /// @brief Whether the known contents are recent enough for fetches and saves.
   [[nodiscard]] bool IsFresh(base::TimePoint aNow) const
   {
     return m_updatedAt && aNow < *m_updatedAt + m_options.m_maxAge;
   }
-  /// @brief Whether the part is whole here and may be fetched now.
+  /// @brief Whether the store holds the complete part and it may be fetched now.
   [[nodiscard]] bool MayFetch(const PartName& aPart, base::TimePoint aNow) const;
-  /// @brief Whether a save of the part is on its way here, as far as this host knows.
+  /// @brief Whether this host knows of a save of the part that is in progress.
   [[nodiscard]] bool IsPending(const PartName& aPart) const { return m_pending.contains(aPart); }
-  /// @brief Whether the part should be saved here: not held, not on its way, and room for it.
+  /// @brief Whether the part may be saved: neither stored nor pending, and the capacity suffices.
   [[nodiscard]] bool MaySave(const PartName& aPart,
                              std::uint32_t aTokens,
                              base::TimePoint aNow) const;
-  /// @brief On the endpoints' clock, when a fetch begun now has to have ended; then it is thrown
-  /// away and the prompt is read.
+  /// @brief Deadline of a fetch that starts now, on the endpoints' clock (ms). A fetch that misses
+  /// it is discarded, and the prompt is prefilled.
   [[nodiscard]] std::optional<std::int64_t> FetchDeadline(base::TimePoint aNow,
                                                           base::Duration aTimeout) const;
   [[nodiscard]] std::uint64_t Epoch() const { return m_epoch; }
--- a/include/ferrytray/cache/store_feed.hpp
+++ b/include/ferrytray/cache/store_feed.hpp
@@ -11,7 +11,7 @@
 
 namespace ferrytray::cache {
 
-/// @brief A part of a prompt under the text that its requests were cached under.
+/// @brief Identifies a cached part of a prompt by its scope (see Scope) and id.
 struct PartName
 {
   std::string m_scope;
@@ -19,7 +19,7 @@
   auto operator<=>(const PartName&) const = default;
 };
 
-/// @brief A part became whole in a store, or left it.
+/// @brief A part was completely stored, or was removed from the store.
 struct StoreChange
 {
   PartName m_part;
@@ -27,28 +27,29 @@
   bool m_added = true;
 };
 
-/// @brief What a store tells of its contents.
+/// @brief Events of a store, or a listing of its whole contents.
 struct StoreEvents
 {
-  std::uint64_t m_epoch = 0;                 ///< changes when the store restarts, empty
-  std::uint64_t m_next = 0;                  ///< where the next news begin
-  bool m_eventsLost = false;                 ///< some news between are no longer kept
+  std::uint64_t m_epoch = 0;                 ///< changes when the store restarts (it is then empty)
+  std::uint64_t m_next = 0;                  ///< sequence number of the next event
+  bool m_eventsLost = false;                 ///< events were dropped before these
   std::optional<std::int64_t> m_clockMillis; ///< the endpoints' common clock
   std::vector<StoreChange> m_changes;
 };
 
-/// @brief How news of stores arrive.
+/// @brief Interface for reading the events and contents of stores.
 class StoreFeed
 {
 public:
   using Done = std::function<void(base::Result<StoreEvents>)>;
   virtual ~StoreFeed() = default;
-  /// @param aWait how long the store may wait for news
+  /// @brief Reads the events from a sequence number on.
+  /// @param aWait how long the store may wait for an event (long polling)
   virtual void ReadEvents(const std::string& aAddress,
                           std::uint64_t aSince,
                           base::Duration aWait,
                           Done aDone) = 0;
-  /// @brief Reads the whole contents. It holds the store up, so it is for lost news only.
+  /// @brief Reads the whole contents. It blocks the store, so use it only after lost events.
   virtual void ReadAll(const std::string& aAddress, Done aDone) = 0;
 };
 
--- a/include/ferrytray/cache/store_follower.hpp
+++ b/include/ferrytray/cache/store_follower.hpp
@@ -12,17 +12,18 @@
 
 struct FollowerOptions
 {
-  /// What is heard counts from when it was asked for, so it must not be held long
-  /// (ContentsOptions::m_maxAge).
+  /// Long-polling wait of a read. The age of events counts from the request, so this must stay well
+  /// below ContentsOptions::m_maxAge.
   base::Duration m_longPollWait = std::chrono::milliseconds(500);
-  /// Between two reads, so that news come in batches.
+  /// Makes events arrive in batches.
   base::Duration m_pauseBetweenReads = std::chrono::milliseconds(200);
   base::Duration m_retryDelay = std::chrono::milliseconds(400);
-  /// A store serves a few readers at once and refuses the others, which costs the operators, too.
+  /// After a refusal. A store serves only a few readers at once and refuses the others, and
+  /// further reads may cause it to refuse the operators' own.
   base::Duration m_refusalDelay = std::chrono::seconds(10);
 };
 
-/// @brief Follows the contents of one store.
+/// @brief Keeps the known contents of one store up to date by long polling its events.
 class StoreFollower : public std::enable_shared_from_this<StoreFollower>
 {
 public:
--- a/src/ferrytray/cache/part_planner.cpp
+++ b/src/ferrytray/cache/part_planner.cpp
@@ -66,8 +66,8 @@
 
 std::vector<std::string> PartPlanner::RankStores(const std::string& aId, const Stores& aStores)
 {
-  // Weighted rendezvous: a store gets parts in proportion to what its link carries, so that waits
-  // are alike; when the fast ones are full, the others get the rest.
+  // Weighted rendezvous hashing: stores get parts in proportion to their link speed, so that link
+  // waits are similar. Once the fast stores are full, the others get the rest.
   std::vector<std::pair<double, std::string>> scored;
   for (const auto& [address, store] : aStores) {
     constexpr double kRange = 18446744073709551616.0; // 2^64
--- a/src/ferrytray/cache/part_planner_test.cpp
+++ b/src/ferrytray/cache/part_planner_test.cpp
@@ -56,7 +56,7 @@
   CHECK_FALSE(plan.m_transfers[0].m_saveTo.empty());
   CHECK_FALSE(plan.m_transfers[1].m_saveTo.empty());
   CHECK(plan.m_transfers[2].m_saveTo.empty());
-  CHECK(Plan().Empty()); // on its way
+  CHECK(Plan().Empty()); // the saves are pending
 }
 
 TEST(PartPlanner, FetchesFromAnyStoreThatHoldsThePart)
@@ -81,8 +81,8 @@
   CHECK(Plan().Empty());
 }
 
-// Load: prompts that begin with one of a few short parts, then a long one. Engines drop both within
-// seconds. What binds is the long part, which cannot be used when the short one before it is gone.
+// Prompts start with a short shared part, followed by a long one, and engines evict both within
+// seconds. An engine cannot use the fetched long part if the short one before it is missing.
 TEST(PartPlanner, FetchesShortPartsBeforeLongOnes)
 {
   ReportEvents(m_stores, kStart);
@@ -93,8 +93,7 @@
   STRCMP_EQUAL("s1:1", plan.m_transfers[1].m_fetchFrom.c_str());
 }
 
-// Load: lookups of a few hundred tokens, whose reading takes an engine less than two transfers
-// wait.
+// For a few hundred tokens, prefill takes less time than the waits of two transfers.
 TEST(PartPlanner, PlansNoTransfersForFewSharedTokens)
 {
   ReportEvents(m_stores, kStart);
@@ -103,8 +102,8 @@
   CHECK(m_planner.Plan({ parts, "m.1", "w:1" }, m_stores, kSettled).Empty());
 }
 
-// Load: a store whose link is slow or crowded. Beyond the time that a request can spare, its prompt
-// is read instead.
+// On a slow or busy link, a fetch may exceed the time that the request allows; its prompt is then
+// prefilled instead.
 TEST(PartPlanner, FetchDeadlineFollowsTheRequestsTimeLimit)
 {
   ReportEvents(m_stores, kStart);
@@ -116,8 +115,9 @@
   LONGS_EQUAL(deadline(2s), deadline(10s));
 }
 
-// Load: two tiers of stores, the fast one much the smaller. By room the slow links would carry nine
-// of ten fetches; by link speed both are as busy, until the fast ones are full.
+// Two tiers of stores, of which the fast one is much smaller. Distributed by capacity, the slow
+// links would carry nine of ten fetches; by link speed, both are equally busy until the fast stores
+// are full.
 TEST(PartPlanner, DistributesSavesByLinkSpeedUntilStoresAreFull)
 {
   cache::Stores tiers{ { "fast:1", cache::StoreContents({ 70'000, 71'000 }) },
--- a/src/ferrytray/cache/store_contents.cpp
+++ b/src/ferrytray/cache/store_contents.cpp
@@ -18,7 +18,7 @@
 {
   m_epoch = aEpoch;
   m_epochStartedAt = aNow;
-  m_next = 0; // numbers of another epoch say nothing
+  m_next = 0; // sequence numbers are only valid within an epoch
   m_pending.clear();
   Clear();
 }
--- a/src/ferrytray/cache/store_contents_test.cpp
+++ b/src/ferrytray/cache/store_contents_test.cpp
@@ -76,8 +76,7 @@
   CHECK_FALSE(m_contents.FetchDeadline(kStart, 2s).has_value());
   m_contents.OnEvents(Events(1), false, kStart, kStart);
   LONGS_EQUAL(101'500, *m_contents.FetchDeadline(kStart + 500ms, 1s));
-  LONGS_EQUAL(101'700,
-              *m_contents.FetchDeadline(kStart + 500ms, 2s)); // no longer than any may take
+  LONGS_EQUAL(101'700, *m_contents.FetchDeadline(kStart + 500ms, 2s)); // limited by m_maxFetchTime
 }
 
 TEST(StoreContents, DefaultSaveDelayCoversFetchesOfOldContents)
@@ -88,14 +87,14 @@
 
 TEST(StoreContents, EventsAgeFromTheTimeOfTheRequest)
 {
-  // The process stood still for 4 s while the answer waited to be read.
+  // The process was suspended for 4 s before it read the response.
   m_contents.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart + 4s);
   CHECK_FALSE(m_contents.MayFetch(kPart, kStart + 4s));
   m_contents.OnEvents(Events(1), false, kStart + 4s, kStart + 4s);
   CHECK(m_contents.MayFetch(kPart, kStart + 4s));
 }
 
-/// A host that reads a store, and one that follows it by digests.
+/// One host reads the store, and another follows it by deltas.
 TEST_GROUP(ContentsDelta)
 {
   cache::StoreContents m_reader{ { 100'000 } };
@@ -190,7 +189,7 @@
 {
   m_contents.OnEvents(Events(1, { { kPart, 400, true } }), false, kStart, kStart);
   m_contents.OnFreed(2, std::vector{ kPart });
-  CHECK(m_contents.Parts().contains(kPart)); // of another epoch
+  CHECK(m_contents.Parts().contains(kPart)); // freed in another epoch
   m_contents.OnFreed(1, std::vector{ kPart });
   CHECK_FALSE(m_contents.Parts().contains(kPart));
 }
--- a/src/ferrytray/cache/store_follower.cpp
+++ b/src/ferrytray/cache/store_follower.cpp
@@ -55,7 +55,8 @@
   }
   StoreContents& contents = m_stores.at(m_address);
   const bool restarted = contents.Epoch() != aEvents->m_epoch;
-  // After a restart, the news asked for began in the middle of the new epoch.
+  // After a restart, events were read from a sequence number of the old epoch, so the first events
+  // of the new one may be missing.
   if (aEvents->m_eventsLost || (restarted && contents.Next() > 0)) {
     ReadAll();
     return;
