--- a/include/ferrytray/blocks/chain.hpp
+++ b/include/ferrytray/blocks/chain.hpp
@@ -9,10 +9,10 @@
 
 namespace ferrytray::blocks {
 
-/// @brief What the name of a KV block depends on besides the prompt itself.
+/// @brief Scope that is hashed into the names of KV blocks.
 ///
-/// Another account's or weight version's block has another name, so isolation does not
-/// rest on a check that a later change may forget.
+/// Blocks of different accounts or weight versions have different names, so isolation doesn't
+/// depend on access checks that a later change could omit.
 struct BlockScope
 {
   std::string_view m_account;
@@ -20,18 +20,18 @@
   std::string_view m_weightVersion;
 };
 
-/// @brief How prompts are cut into blocks.
+/// @brief Block size of prompts.
 struct BlockLayout
 {
   std::size_t m_bytesPerBlock = 1024;   ///< prompt bytes that one block covers
   std::uint32_t m_tokensPerBlock = 256; ///< tokens that one block covers
 };
 
-/// @brief Names the whole blocks of a prompt; a last, partial block has no name.
+/// @brief Computes the names of all complete blocks of a prompt; a partial last block has none.
 /// @param aScope account, model and weight version
 /// @param aPrompt the whole prompt (bytes)
-/// @param aLayout how it is cut
-/// @return one chained digest a block: block i depends on blocks 0 to i
+/// @param aLayout block size
+/// @return one chained digest per block; the digest of block i depends on blocks 0 to i
 ///
 /// @code
 /// auto names = blocks::ChainBlocks({"lab", "datasheet-7b", "3"}, prompt, {});
--- a/src/ferrytray/blocks/chain.cpp
+++ b/src/ferrytray/blocks/chain.cpp
@@ -6,7 +6,7 @@
 
 base::Digest128 ScopeSeed(const BlockScope& aScope)
 {
-  // Hashed one after the other, so that no two different triples share a concatenation.
+  // Each field is hashed separately, since different scopes may have the same concatenation.
   base::Digest128 seed = base::HashWithSeed({}, aScope.m_account);
   seed = base::HashWithSeed(seed, aScope.m_model);
   return base::HashWithSeed(seed, aScope.m_weightVersion);
