--- a/include/ferrytray/peers/messages.hpp
+++ b/include/ferrytray/peers/messages.hpp
@@ -6,7 +6,7 @@
 #include <vector>      // for vector
 
 #include "ferrytray/base/error.hpp"              // for Result
-#include "ferrytray/cache/contents_digest.hpp"   // for ContentsCursor, ContentsDigest
+#include "ferrytray/cache/contents_delta.hpp"    // for ContentsCursor, ContentsDigest
 #include "ferrytray/peers/load_table.hpp"        // for EndpointLoads, LoadScope
 #include "ferrytray/peers/reload_table.hpp"      // for ReloadNotices
 #include "ferrytray/peers/replacement_table.hpp" // for ReplacementNotices
@@ -40,7 +40,7 @@
 {
   std::uint64_t m_incarnation = 0; ///< of the replying host
   std::vector<store::TopicUpdate> m_topics;
-  std::vector<cache::ContentsDigest> m_stores;
+  std::vector<cache::ContentsDelta> m_stores;
   /// For a request of scope Own: the loads of all other hosts. For scope Summary: those of this
   /// host and of the hosts that report to it.
   EndpointLoads m_loads;
--- a/include/ferrytray/peers/peer_exchange.hpp
+++ b/include/ferrytray/peers/peer_exchange.hpp
@@ -34,7 +34,7 @@
   std::string m_topic;          ///< keyed; each host's record is its Peer
   RosterOptions m_roster;
   /// Between two sync requests; adds up to this much to the age of received data
-  /// (ContentsOptions::m_freshFor).
+  /// (ContentsOptions::m_maxAge).
   base::Duration m_pollInterval = std::chrono::milliseconds(300);
   base::Duration m_requestTimeout = std::chrono::milliseconds(700);
   base::Duration m_connectTimeout = std::chrono::milliseconds(300);
--- a/include/ferrytray/relay/candidates.hpp
+++ b/include/ferrytray/relay/candidates.hpp
@@ -38,7 +38,7 @@
                                         const fleet::Service* aService,
                                         const std::optional<PromptRequirements>& aRequirements,
                                         const std::set<std::string>& aExcluded,
-                                        routing::ColdUse aCold,
+                                        routing::ColdTrafficSource aCold,
                                         const std::string& aAssigned,
                                         base::TimePoint aNow);
 
--- a/include/ferrytray/relay/endpoint_call.hpp
+++ b/include/ferrytray/relay/endpoint_call.hpp
@@ -23,8 +23,8 @@
   std::optional<fleet::WeightVersion> m_weights; ///< endpoints with another version refuse
   std::string m_cacheScope; ///< cached parts are found only under an equal scope
   cache::PartPlan m_parts;  ///< where the prompt's parts are read from and stored
-  /// Prompt tokens per cache::PartFate.
-  std::array<std::uint64_t, cache::kPartFates> m_tokensByFate{};
+  /// Prompt tokens per cache::PartOutcome.
+  std::array<std::uint64_t, cache::kPartOutcomes> m_tokensByOutcome{};
   base::Duration m_maxIdle{}; ///< maximum idle time of a reused connection
   bool m_repeatable = false;
   /// Priority of a prompt: 0 runs first when the endpoint cannot run all prompts at once.
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -25,7 +25,7 @@
 #include "ferrytray/relay/prompt_placement.hpp"    // for PromptPlacement
 #include "ferrytray/relay/wire_format.hpp"         // for WireFormat
 #include "ferrytray/routing/cold_starts.hpp"       // for ColdStarts
-#include "ferrytray/routing/endpoint_board.hpp"    // for EndpointBoard
+#include "ferrytray/routing/endpoint_tracker.hpp"  // for EndpointBoard
 #include "ferrytray/store/unreadable_records.hpp"  // for UnreadableRecords
 #include "ferrytray/telemetry/metrics.hpp"         // for Metrics
 
@@ -93,7 +93,7 @@
   RelayOptions m_options;
   fleet::ConfigurationPtr m_configuration; ///< null until the first one is read
   fleet::Directory m_directory;
-  routing::EndpointBoard m_endpointBoard;
+  routing::EndpointTracker m_endpointBoard;
   routing::ColdStarts m_coldStarts;
   /// Whether this host is among the first aFirst hosts by a hash of aName; false while the other
   /// hosts are unknown. If unset: false.
--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -25,7 +25,7 @@
 /// The optional clock is written as a flag and a number: cereal's reader for std::optional needs
 /// C++17 headers that do not work with BoundedInputArchive.
 template<typename Archive>
-void serialize(Archive& aArchive, ContentsDigest& aDigest)
+void serialize(Archive& aArchive, ContentsDelta& aDigest)
 {
   bool hasClock = aDigest.m_clockMillis.has_value();
   std::int64_t clock = aDigest.m_clockMillis.value_or(0);
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -38,13 +38,13 @@
                                                service,
                                                needs,
                                                aExcluded,
-                                               routing::ColdUse::Own,
+                                               routing::ColdTrafficSource::Own,
                                                aAssigned.m_engine,
                                                base::MonotonicNow());
   const std::vector<const fleet::Endpoint*>& endpoints = candidates.m_endpoints;
   const std::vector<routing::PlacementCandidate>& placements = candidates.m_placements;
   if (!m_request.m_prompt) {
-    const auto chosen = routing::PlaceAnywhere(placements, m_core.m_random());
+    const auto chosen = routing::PlaceByTwoChoices(placements, m_core.m_random());
     return chosen ? Target{ endpoints[*chosen], "", placements[*chosen].m_work, false } : Target{};
   }
   for (std::size_t i = 0; i < placements.size(); ++i) {
@@ -72,8 +72,9 @@
 {
   const fleet::Service* service = m_routeMatch.m_configuration->FindService(aService);
   return m_request.m_prompt && service != nullptr && service->m_engine &&
-         routing::SizeOf(m_request.m_prompt->m_inputTokens,
-                         service->m_engine->m_kvCapacityTokens) == routing::PromptSize::Long;
+         routing::ClassifyPrompt(m_request.m_prompt->m_inputTokens,
+                                 service->m_engine->m_kvCapacityTokens) ==
+           routing::PromptSize::Long;
 }
 
 std::uint32_t CallPlanner::RankOf(const std::string& aService) const
@@ -110,7 +111,7 @@
         PromptPlacement::CacheScope(model, weights->second, m_routeMatch.m_account);
       const std::vector<cache::PlannedPart> parts = PlannedParts();
       call.m_parts = PlanParts(parts, call.m_cacheScope, aTarget.m_partSource);
-      call.m_tokensByFate = call.m_parts.Tokens(parts);
+      call.m_tokensByOutcome = call.m_parts.TokensByOutcome(parts);
     } else {
       // The weight version is unknown, so the scope is unique to the request and its parts are not
       // shared.
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -50,7 +50,7 @@
     return false;
   }
   const std::uint64_t memory = aService->m_engine->m_kvCapacityTokens;
-  return !routing::HasRoom(routing::SizeOf(aRequirements.m_tokens, memory), aOpen, memory);
+  return !routing::HasRoom(routing::ClassifyPrompt(aRequirements.m_tokens, memory), aOpen, memory);
 }
 
 } // namespace
@@ -60,7 +60,7 @@
                           const fleet::Service* aService,
                           const std::optional<PromptRequirements>& aRequirements,
                           const std::set<std::string>& aExcluded,
-                          routing::ColdUse aCold,
+                          routing::ColdTrafficSource aCold,
                           const std::string& aAssigned,
                           base::TimePoint aNow)
 {
@@ -75,8 +75,8 @@
     const std::string& incarnation = endpoint->m_incarnation;
     const bool outdated =
       aRequirements && HasOutdatedWeights(aCore, *endpoint, *aRequirements, aNow);
-    if (aExcluded.contains(incarnation) || aCore.m_endpointBoard.Open(incarnation) >= maxOpen ||
-        outdated) {
+    if (aExcluded.contains(incarnation) ||
+        aCore.m_endpointBoard.OpenRequests(incarnation) >= maxOpen || outdated) {
       continue;
     }
     if (incarnation != aAssigned && !MaySendToCold(aCore, *endpoint, aCold, aNow)) {
@@ -84,9 +84,9 @@
     }
     const peers::EndpointTag tag = peers::TagOf(incarnation);
     const routing::Work work =
-      aCore.m_endpointBoard.OpenWork(incarnation) + aCore.m_peerLoads.RemoteLoad(tag);
+      aCore.m_endpointBoard.WorkOfOpenRequests(incarnation) + aCore.m_peerLoads.RemoteLoad(tag);
     const bool reloading = aRequirements && aCore.m_reloads.IsReloading(tag, aNow);
-    const bool avoided = reloading || aCore.m_endpointBoard.Avoided(incarnation, aNow) ||
+    const bool avoided = reloading || aCore.m_endpointBoard.IsAvoided(incarnation, aNow) ||
                          HasCrashed(aCore, incarnation, aNow);
     candidates.m_endpoints.push_back(endpoint);
     candidates.m_placements.push_back(
--- a/src/ferrytray/relay/cold_engines.cpp
+++ b/src/ferrytray/relay/cold_engines.cpp
@@ -21,7 +21,7 @@
 
 bool MaySendToCold(const RelayCore& aCore,
                    const fleet::Endpoint& aEndpoint,
-                   routing::ColdUse aUse,
+                   routing::ColdTrafficSource aUse,
                    base::TimePoint aNow)
 {
   const std::string& incarnation = aEndpoint.m_incarnation;
@@ -32,14 +32,14 @@
   if (!aCore.m_coldStarts.MaySend(incarnation, aUse, aNow)) {
     return false;
   }
-  return aUse == routing::ColdUse::Assigned ||
+  return aUse == routing::ColdTrafficSource::Assigned ||
          (aCore.m_isAmongFirstHosts &&
-          aCore.m_isAmongFirstHosts(incarnation, aCore.m_coldStarts.Hosts()));
+          aCore.m_isAmongFirstHosts(incarnation, aCore.m_coldStarts.SendersPerEngine()));
 }
 
 void RecordColdSend(RelayCore& aCore,
                     const fleet::Endpoint& aEndpoint,
-                    routing::ColdUse aUse,
+                    routing::ColdTrafficSource aUse,
                     base::TimePoint aNow)
 {
   const fleet::ColdTraits* traits = FindColdTraits(aCore, aEndpoint.m_service);
@@ -51,7 +51,7 @@
 void SuspectColdStart(RelayCore& aCore, const fleet::Endpoint& aEndpoint, base::TimePoint aNow)
 {
   if (const fleet::ColdTraits* traits = FindColdTraits(aCore, aEndpoint.m_service)) {
-    aCore.m_coldStarts.OnSuspected(aEndpoint.m_incarnation, traits->m_duration, aNow);
+    aCore.m_coldStarts.OnRestartSuspected(aEndpoint.m_incarnation, traits->m_duration, aNow);
   }
 }
 
--- a/src/ferrytray/relay/cold_engines_test.cpp
+++ b/src/ferrytray/relay/cold_engines_test.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 using net::WireEnd;
 using routing::ColdStarts;
-using routing::ColdUse;
+using routing::ColdTrafficSource;
 
 namespace {
 
@@ -61,9 +61,9 @@
       // Two hosts that both act as the dispatcher, each sending at its limit.
       for (ColdStarts& dispatcher : m_dispatchers) {
         if (at == base::Duration::zero()) {
-          dispatcher.OnTold("e", kColdFor + 10s, false, kNow);
+          dispatcher.OnColdTimeReported("e", kColdFor + 10s, false, kNow);
         }
-        SendIfAllowed(dispatcher, ColdUse::Assigned, at);
+        SendIfAllowed(dispatcher, ColdTrafficSource::Assigned, at);
       }
     }
     return MaxInOneSecond();
@@ -96,7 +96,7 @@
   {
     return std::uniform_real_distribution<double>(aLeast, aMost)(m_random);
   }
-  void SendIfAllowed(ColdStarts& aCold, ColdUse aUse, base::Duration aAt)
+  void SendIfAllowed(ColdStarts& aCold, ColdTrafficSource aUse, base::Duration aAt)
   {
     if (aCold.MaySend("e", aUse, kNow + aAt)) {
       aCold.OnSent("e", aUse, kColdPerSecond, kNow + aAt);
@@ -119,11 +119,11 @@
     }
     if (!aHost.m_notified) {
       aHost.m_notified = true;
-      aHost.m_cold.OnTold("e", kColdFor + 10s, false, kNow + aAt);
-      aHost.m_isSelected = aHost.m_roster.IsAmongFirst("e", aHost.m_cold.Hosts());
+      aHost.m_cold.OnColdTimeReported("e", kColdFor + 10s, false, kNow + aAt);
+      aHost.m_isSelected = aHost.m_roster.IsAmongFirst("e", aHost.m_cold.SendersPerEngine());
     }
     if (aHost.m_isSelected) {
-      SendIfAllowed(aHost.m_cold, ColdUse::Own, aAt);
+      SendIfAllowed(aHost.m_cold, ColdTrafficSource::Own, aAt);
     }
   }
   std::size_t MaxInOneSecond()
@@ -188,8 +188,8 @@
 
 TEST(ColdEngines, NoLimitWithoutColdTraits)
 {
-  m_core.m_coldStarts.OnTold("a", 10s, true, base::MonotonicNow());
-  CHECK(relay::MaySendToCold(m_core, Engine("a"), ColdUse::Own, base::MonotonicNow()));
+  m_core.m_coldStarts.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
+  CHECK(relay::MaySendToCold(m_core, Engine("a"), ColdTrafficSource::Own, base::MonotonicNow()));
   relay::SuspectColdStart(m_core, Engine("b"), base::MonotonicNow());
   CHECK_FALSE(m_core.m_coldStarts.IsCold("b", base::MonotonicNow()));
 }
@@ -197,12 +197,12 @@
 TEST(ColdEngines, UnselectedHostAvoidsColdEngine)
 {
   DeclareColdTraits(kColdPerSecond);
-  m_core.m_coldStarts.OnTold("a", 10s, true, base::MonotonicNow());
+  m_core.m_coldStarts.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
   for (int i = 0; i < 5; ++i) {
     Ask("/stream/x", "k", "m");
     STRCMP_EQUAL("b", Sent("to").c_str());
   }
-  m_core.m_coldStarts.OnTold("b", 10s, true, base::MonotonicNow());
+  m_core.m_coldStarts.OnColdTimeReported("b", 10s, true, base::MonotonicNow());
   const auto refused = Ask("/stream/x", "k", "m");
   LONGS_EQUAL(503, refused->m_status);
   STRCMP_EQUAL("not_run", refused->Header("run").c_str());
@@ -212,8 +212,8 @@
 {
   DeclareColdTraits(kColdPerSecond);
   m_core.m_isAmongFirstHosts = [](const std::string& aName, std::size_t) { return aName == "a"; };
-  m_core.m_coldStarts.OnTold("a", 10s, true, base::MonotonicNow());
-  m_core.m_coldStarts.OnTold("b", 10s, true, base::MonotonicNow());
+  m_core.m_coldStarts.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
+  m_core.m_coldStarts.OnColdTimeReported("b", 10s, true, base::MonotonicNow());
   const std::size_t before = m_client.m_calls.size();
   LONGS_EQUAL(0, Ask("/stream/x", "k", "m")->m_status);
   STRCMP_EQUAL("a", Sent("to").c_str());
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -148,11 +148,11 @@
   m_lastEndpoint = endpoint->m_incarnation;
   m_lastOpenWork = target.m_openWork;
   m_lastAtHome = target.m_partSource.empty();
-  m_lastTokensByFate = call.m_tokensByFate;
+  m_lastTokensByFate = call.m_tokensByOutcome;
   ++m_sends;
   m_core.m_endpointBoard.OnSent(endpoint->m_incarnation, m_work);
   if (endpoint->m_incarnation != m_assigned.m_engine) {
-    RecordColdSend(m_core, *endpoint, routing::ColdUse::Own, m_attempt->m_sentAt);
+    RecordColdSend(m_core, *endpoint, routing::ColdTrafficSource::Own, m_attempt->m_sentAt);
   }
   const std::weak_ptr<Exchange> weak = weak_from_this();
   net::ClientEvents events;
--- a/src/ferrytray/relay/exchange_end.cpp
+++ b/src/ferrytray/relay/exchange_end.cpp
@@ -193,7 +193,7 @@
     line.Add("began_ms", m_firstEventAt ? base::ToMillis(*m_firstEventAt - m_arrivedAt) : -1L)
       .Add("prompt_tokens", m_request.m_prompt->m_inputTokens);
     for (std::size_t fate = 0; fate < m_lastTokensByFate.size(); ++fate) {
-      line.Add(cache::ToString(static_cast<cache::PartFate>(fate)), m_lastTokensByFate.at(fate));
+      line.Add(cache::ToString(static_cast<cache::PartOutcome>(fate)), m_lastTokensByFate.at(fate));
     }
   }
 }
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -82,7 +82,8 @@
   }
   const base::TimePoint now = base::MonotonicNow();
   if (aRequest.m_sampleTokens > 0) {
-    m_queues.OnRead(aRequest.m_sampleTokens, std::chrono::milliseconds(aRequest.m_sampleMillis));
+    m_queues.OnPrefilled(aRequest.m_sampleTokens,
+                         std::chrono::milliseconds(aRequest.m_sampleMillis));
   }
   m_unreachable.OnReport(aRequest.m_host, aRequest.m_unreachable, now);
   const std::set<peers::EndpointTag> refused(aRequest.m_unreachable.begin(),
@@ -92,8 +93,8 @@
     service == nullptr || !service->m_engine ? 0 : service->m_engine->m_kvCapacityTokens;
   const PromptRequirements needs{ aRequest.m_model, aRequest.m_tokens };
   const Candidates candidates = FindCandidates(
-    m_core, aRequest.m_service, service, needs, {}, routing::ColdUse::Assigned, "", now);
-  const routing::PromptSize size = routing::SizeOf(aRequest.m_tokens, memory);
+    m_core, aRequest.m_service, service, needs, {}, routing::ColdTrafficSource::Assigned, "", now);
+  const routing::PromptSize size = routing::ClassifyPrompt(aRequest.m_tokens, memory);
   bool anyFull = false;
   std::vector<routing::PrefillEngine> engines;
   for (std::size_t i = 0; i < candidates.m_placements.size(); ++i) {
@@ -102,7 +103,7 @@
       aRequest.m_zone.empty() || candidates.m_endpoints[i]->m_zone == aRequest.m_zone;
     const peers::EndpointTag tag = peers::TagOf(place.m_name);
     const bool reachable = !refused.contains(tag) && !m_unreachable.IsUnreachable(tag, now);
-    const std::uint64_t assignedTokens = m_queues.GivenTokens(place.m_name, now);
+    const std::uint64_t assignedTokens = m_queues.UnreportedTokens(place.m_name, now);
     const routing::Work work =
       place.m_work + routing::WorkOf(static_cast<std::uint32_t>(assignedTokens));
     const bool usable = inZone && reachable && !place.m_avoided;
@@ -117,12 +118,13 @@
   const routing::PrefillJob job{
     aRequest.m_key, uncountedTokens, aRequest.m_uncachedTokens, aRequest.m_unsharedTokens
   };
-  const auto choice = m_queues.Give(job, engines, now);
+  const auto choice = m_queues.Assign(job, engines, now);
   if (!choice) {
     return { "", "", false, anyFull && aRequest.m_zone.empty() };
   }
   const std::string& chosen = engines[choice->m_engine].m_name;
-  RecordColdSend(m_core, *m_core.m_directory.Find(chosen), routing::ColdUse::Assigned, now);
+  RecordColdSend(
+    m_core, *m_core.m_directory.Find(chosen), routing::ColdTrafficSource::Assigned, now);
   return { chosen, choice->m_holder, choice->m_free, false };
 }
 
@@ -138,7 +140,7 @@
 {
   std::vector<peers::EndpointTag> unreachable;
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(aService)) {
-    if (m_core.m_endpointBoard.Avoided(endpoint->m_incarnation, aNow)) {
+    if (m_core.m_endpointBoard.IsAvoided(endpoint->m_incarnation, aNow)) {
       unreachable.push_back(peers::TagOf(endpoint->m_incarnation));
     }
   }
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -229,7 +229,7 @@
   }
   for (const fleet::Endpoint* endpoint : m_core.m_directory.All()) {
     if (const auto zone = open.find(endpoint->m_zone); zone != open.end()) {
-      zone->second += m_core.m_endpointBoard.Open(endpoint->m_incarnation);
+      zone->second += m_core.m_endpointBoard.OpenRequests(endpoint->m_incarnation);
     }
   }
   for (const auto& [zone, requests] : open) {
@@ -240,9 +240,10 @@
 peers::EndpointLoads RelayHost::LocalLoads() const
 {
   peers::EndpointLoads loads;
-  m_core.m_endpointBoard.ForEachOpen([&](const std::string& aEndpoint, routing::Work aWork) {
-    loads.push_back({ peers::TagOf(aEndpoint), static_cast<std::uint16_t>(aWork) });
-  });
+  m_core.m_endpointBoard.ForEachWithOpenRequests(
+    [&](const std::string& aEndpoint, routing::Work aWork) {
+      loads.push_back({ peers::TagOf(aEndpoint), static_cast<std::uint16_t>(aWork) });
+    });
   return loads;
 }
 
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -269,7 +269,8 @@
   }
   const fleet::Endpoint* previous = m_core.m_directory.FindById(aRecord.m_key);
   if (FindColdTraits(m_core, read->m_service) != nullptr) {
-    m_core.m_coldStarts.OnTold(read->m_incarnation, read->m_coldDuration, previous == nullptr, now);
+    m_core.m_coldStarts.OnColdTimeReported(
+      read->m_incarnation, read->m_coldDuration, previous == nullptr, now);
   }
   const std::string previousIncarnation = previous == nullptr ? "" : previous->m_incarnation;
   m_core.m_directory.Upsert(std::move(*read), now);
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -142,9 +142,9 @@
   StartFeeds();
   const std::string former = fleet::IncarnationOf("e", 1);
   m_core.m_endpointBoard.OnSent(former, 3);
-  m_core.m_coldStarts.OnTold(former, 10s, true, base::MonotonicNow());
+  m_core.m_coldStarts.OnColdTimeReported(former, 10s, true, base::MonotonicNow());
   DeliverFromPeer("endpoints", { { 1, "e", "2 z1", false } });
-  LONGS_EQUAL(0, m_core.m_endpointBoard.OpenWork(former));
+  LONGS_EQUAL(0, m_core.m_endpointBoard.WorkOfOpenRequests(former));
   CHECK_FALSE(m_core.m_coldStarts.IsCold(former, base::MonotonicNow()));
   POINTERS_EQUAL(nullptr, m_core.m_directory.Find(former));
   CHECK(m_core.m_directory.FindById("e") != nullptr);
--- a/src/ferrytray/routing/choose.cpp
+++ b/src/ferrytray/routing/choose.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// Splits random bits into one small draw after another.
-class Draws
+/// Derives a sequence of random numbers from one random seed.
+class XorshiftRandom
 {
 public:
-  explicit Draws(std::uint64_t aBits)
+  explicit XorshiftRandom(std::uint64_t aBits)
     : m_bits(aBits | 1U)
   {
   }
 
   std::size_t Below(std::size_t aBound)
   {
-    // xorshift: a few draws from bits that the caller made random.
+    // xorshift64 is sufficient for a few draws from a random seed.
     m_bits ^= m_bits << 13U;
     m_bits ^= m_bits >> 7U;
     m_bits ^= m_bits << 17U;
@@ -35,16 +35,17 @@
   });
 }
 
-// Up to so many candidates every plan is worked out, for the decision log.
-constexpr std::size_t kAlwaysPlanned = 64;
+// Up to this many candidates, all plans are computed if the decision log wants them.
+constexpr std::size_t kMaxCandidatesWithoutPruning = 64;
 
-/// What a worker costs at the least: its queue, and computing what is kept nowhere.
-double LeastCost(const RequestShape& aRequest,
-                 const WorkerView& aWorker,
-                 const StoreView& aStore,
-                 const ChooseOptions& aOptions)
+/// Lower bound of a worker's cost: its queue wait and the prefill of tokens that are neither cached
+/// nor stored.
+double CostLowerBound(const RequestShape& aRequest,
+                      const WorkerView& aWorker,
+                      const StoreView& aStore,
+                      const ChooseOptions& aOptions)
 {
-  const base::Duration wait = QueueWait(aWorker, aOptions.m_trust) + aWorker.m_path;
+  const base::Duration wait = QueueWait(aWorker, aOptions.m_maxReportAge) + aWorker.m_roundTrip;
   const std::uint32_t kept = std::max(aWorker.m_cachedBlocks, aStore.m_storedBlocks);
   const std::uint32_t reusable = std::min(kept, aRequest.m_blocks) * aRequest.m_tokensPerBlock;
   const std::uint32_t tokens =
@@ -55,22 +56,23 @@
 
 } // namespace
 
-std::optional<Choice> Choose(const RequestShape& aRequest,
-                             std::span<const WorkerView> aWorkers,
-                             std::span<const StoreView> aStores,
-                             const ChooseOptions& aOptions,
-                             std::uint64_t aRandom,
-                             std::span<std::optional<Plan>> aPlans)
+std::optional<Choice> ChooseWorker(const RequestShape& aRequest,
+                                   std::span<const WorkerView> aWorkers,
+                                   std::span<const StoreView> aStores,
+                                   const ChooseOptions& aOptions,
+                                   std::uint64_t aRandom,
+                                   std::span<std::optional<Plan>> aPlans)
 {
   std::optional<Choice> best;
-  const bool prune = aPlans.empty() || aWorkers.size() > kAlwaysPlanned;
+  const bool prune = aPlans.empty() || aWorkers.size() > kMaxCandidatesWithoutPruning;
   const auto consider = [&](std::size_t aIndex) {
     if (prune && best &&
-        LeastCost(aRequest, aWorkers[aIndex], aStores[aIndex], aOptions) >= best->m_plan.m_cost) {
+        CostLowerBound(aRequest, aWorkers[aIndex], aStores[aIndex], aOptions) >=
+          best->m_plan.m_cost) {
       return;
     }
     const auto plan = CheapestPlan(
-      aRequest, aWorkers[aIndex], aStores[aIndex], aOptions.m_weights, aOptions.m_trust);
+      aRequest, aWorkers[aIndex], aStores[aIndex], aOptions.m_weights, aOptions.m_maxReportAge);
     if (!aPlans.empty()) {
       aPlans[aIndex] = plan;
     }
@@ -78,9 +80,9 @@
       best = Choice{ aIndex, *plan };
     }
   };
-  const std::size_t homes = std::min(aOptions.m_homes, aWorkers.size());
+  const std::size_t homes = std::min(aOptions.m_homeCount, aWorkers.size());
   const std::size_t rest = aWorkers.size() - homes;
-  if (AllFresh(aWorkers, aOptions.m_fresh) || rest <= aOptions.m_sampled) {
+  if (AllFresh(aWorkers, aOptions.m_freshReportAge) || rest <= aOptions.m_sampleSize) {
     for (std::size_t i = 0; i < aWorkers.size(); ++i) {
       consider(i);
     }
@@ -89,11 +91,11 @@
   for (std::size_t i = 0; i < homes; ++i) {
     consider(i);
   }
-  Draws draws(aRandom);
-  for (std::size_t i = 0; i < aOptions.m_sampled; ++i) {
+  XorshiftRandom draws(aRandom);
+  for (std::size_t i = 0; i < aOptions.m_sampleSize; ++i) {
     consider(homes + draws.Below(rest));
   }
-  // The sample may have met only workers that cannot be used.
+  // The sample may contain no usable worker.
   for (std::size_t i = homes; !best && i < aWorkers.size(); ++i) {
     consider(i);
   }
