--- a/include/ferrytray/once/answer_store.hpp
+++ b/include/ferrytray/once/answer_store.hpp
@@ -6,7 +6,7 @@
 #include <unordered_map> // for unordered_map
 
 #include "ferrytray/base/digest.hpp"       // for Digest128
-#include "ferrytray/once/ticket_table.hpp" // for KeptAnswer
+#include "ferrytray/once/ticket_table.hpp" // for StoredAnswer
 
 namespace ferrytray::once {
 
