--- a/include/ferrytray/control/order_lease.hpp
+++ b/include/ferrytray/control/order_lease.hpp
@@ -65,7 +65,7 @@
   std::uint64_t m_endOffset = 0; ///< as last read; possibly outdated unless m_endKnown
   bool m_endKnown = false;
   std::string m_holder;
-  std::optional<base::TimePoint> m_otherHolderUntil; ///< another holder may send orders until then
+  std::optional<base::TimePoint> m_takeoverAt; ///< another holder may send orders until then
   std::uint64_t m_fencingToken = 0;
   std::optional<base::TimePoint>
     m_sentAt; ///< of the append in progress or with an uncertain result
--- a/src/ferrytray/cache/store_cleanup_test.cpp
+++ b/src/ferrytray/cache/store_cleanup_test.cpp
@@ -16,7 +16,7 @@
 TEST_GROUP(StoreCleanup)
 {
   cache::Stores m_stores{ { "s:1", cache::StoreContents({ 100'000 }) } };
-  cache::StoreCleanup m_upkeep{ { .m_gracePeriod = 6s } };
+  cache::StoreCleanup m_cleanup{ { .m_gracePeriod = 6s } };
 
   void StorePart(const std::string& aScope, const std::string& aId)
   {
@@ -32,35 +32,35 @@
   StorePart("m/1", "old");
   StorePart("m/2", "new");
   StorePart("other/1", "kept");
-  CHECK(m_upkeep.Plan(m_stores, { { "m", 1 } }, kStart).empty());
-  CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 20s).empty());
-  CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 25s).empty());
-  const auto plan = m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 26s);
+  CHECK(m_cleanup.Plan(m_stores, { { "m", 1 } }, kStart).empty());
+  CHECK(m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 20s).empty());
+  CHECK(m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 25s).empty());
+  const auto plan = m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 26s);
   LONGS_EQUAL(1, plan.size());
   LONGS_EQUAL(7, plan[0].m_epoch);
   LONGS_EQUAL(1, plan[0].m_parts.size());
   STRCMP_EQUAL("old", plan[0].m_parts[0].m_id.c_str());
-  LONGS_EQUAL(1, m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 26s).size());
-  m_upkeep.OnFreeRequested("s:1", kStart + 26s);
-  CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 27s).empty());
-  LONGS_EQUAL(1, m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 29s).size());
+  LONGS_EQUAL(1, m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 26s).size());
+  m_cleanup.OnFreeRequested("s:1", kStart + 26s);
+  CHECK(m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 27s).empty());
+  LONGS_EQUAL(1, m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 29s).size());
 }
 
 TEST(StoreCleanup, EngineWithOldWeightsRestartsTheGracePeriod)
 {
   StorePart("m/1", "old");
-  m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart);
-  m_upkeep.Plan(m_stores, { { "m", 1 } }, kStart + 5s);
-  CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 6s).empty());
-  CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 11s).empty());
-  CHECK_FALSE(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 12s).empty());
+  m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart);
+  m_cleanup.Plan(m_stores, { { "m", 1 } }, kStart + 5s);
+  CHECK(m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 6s).empty());
+  CHECK(m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 11s).empty());
+  CHECK_FALSE(m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 12s).empty());
 }
 
 TEST(StoreCleanup, KeepsPartsWithAnUnknownScope)
 {
   StorePart("somebody's", "x");
-  m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart);
-  CHECK(m_upkeep.Plan(m_stores, { { "m", 2 } }, kStart + 60s).empty());
+  m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart);
+  CHECK(m_cleanup.Plan(m_stores, { { "m", 2 } }, kStart + 60s).empty());
 }
 
 TEST(StoreCleanup, ScopeTextRoundTrips)
--- a/src/ferrytray/control/order_lease.cpp
+++ b/src/ferrytray/control/order_lease.cpp
@@ -4,7 +4,7 @@
 
 void OrderLease::OnRead(std::uint64_t aEnd, const std::string& aHolder, base::TimePoint aNow)
 {
-  const bool changed = m_endOffset != aEnd || !m_otherHolderUntil;
+  const bool changed = m_endOffset != aEnd || !m_takeoverAt;
   m_endOffset = aEnd;
   m_endKnown = true;
   m_holder = aHolder;
@@ -22,7 +22,7 @@
   }
   m_heldSince.reset();
   if (changed) {
-    m_otherHolderUntil = aNow + m_options.m_duration + m_options.m_handoverGap;
+    m_takeoverAt = aNow + m_options.m_duration + m_options.m_handoverGap;
   }
 }
 
@@ -56,7 +56,7 @@
   if (m_heldSince) {
     return aNow >= *m_heldSince + m_options.m_renewEvery;
   }
-  return !m_otherHolderUntil || aNow >= *m_otherHolderUntil;
+  return !m_takeoverAt || aNow >= *m_takeoverAt;
 }
 
 bool OrderLease::MaySendOrder(base::TimePoint aNow) const
@@ -69,7 +69,7 @@
   m_heldSince.reset();
   m_sentAt.reset();
   m_endKnown = false;
-  m_otherHolderUntil.reset();
+  m_takeoverAt.reset();
 }
 
 } // namespace ferrytray::control
--- a/src/ferrytray/control/order_lease_test.cpp
+++ b/src/ferrytray/control/order_lease_test.cpp
@@ -26,7 +26,7 @@
 
 TEST_GROUP(OrderLease){};
 
-TEST(OrderLease, EmptyTopicMayBeTakenOnceRead)
+TEST(OrderLease, EmptyTopicMayBeTakenAfterItIsRead)
 {
   OrderLease lease("a", {});
   CHECK(lease.NeedsRead());
@@ -169,7 +169,7 @@
       rc::gen::tuple(rc::gen::inRange(0, 3), rc::gen::inRange(0, 4), rc::gen::inRange(0, 400)));
     base::TimePoint now = kStart;
     std::optional<std::pair<std::size_t, base::TimePoint>> last;
-    std::uint64_t lastFence = 0;
+    std::uint64_t lastFencingToken = 0;
     for (const auto& [index, action, gap] : steps) {
       now += std::chrono::milliseconds(gap);
       const auto host = static_cast<std::size_t>(index);
@@ -186,9 +186,9 @@
       if (last && last->first != host) {
         RC_ASSERT(now - last->second >= 3s);
       }
-      RC_ASSERT(lease.CurrentFencingToken() >= lastFence);
+      RC_ASSERT(lease.CurrentFencingToken() >= lastFencingToken);
       last = { host, now };
-      lastFence = lease.CurrentFencingToken();
+      lastFencingToken = lease.CurrentFencingToken();
     }
   });
   CHECK(held);
--- a/src/ferrytray/limits/fair_queue_test.cpp
+++ b/src/ferrytray/limits/fair_queue_test.cpp
@@ -32,11 +32,11 @@
   for (std::uint64_t id = 100; id < 110; ++id) {
     queue.Push("lookups", 1, { id, 1.0 });
   }
-  int lookupsBeforeSecondLong = 0;
+  int lookupsBeforeSecondDatasheet = 0;
   for (auto request = queue.Pop(); request && request->m_id != 1; request = queue.Pop()) {
-    lookupsBeforeSecondLong += request->m_id >= 100 ? 1 : 0;
+    lookupsBeforeSecondDatasheet += request->m_id >= 100 ? 1 : 0;
   }
-  LONGS_EQUAL(10, lookupsBeforeSecondLong);
+  LONGS_EQUAL(10, lookupsBeforeSecondDatasheet);
 }
 
 TEST(FairQueue, RefusesWhenFull)
--- a/src/ferrytray/routing/routing_test.cpp
+++ b/src/ferrytray/routing/routing_test.cpp
@@ -105,13 +105,13 @@
   // A block takes 28.6 ms to import and 25.6 ms to compute; without a target, the recompute weight
   // causes a full restore.
   const StoreView slow = StoreWithBlocks(100, 3.5e7);
-  const auto patient =
+  const auto withoutTarget =
     routing::CheapestPlan(kLongRequest, IdleWorker(), slow, { 1, 0.3, 0, 0 }, 10s);
-  CHECK(base::Seconds(patient->m_firstToken) > 2.8);
-  const auto bounded =
+  CHECK(base::Seconds(withoutTarget->m_firstToken) > 2.8);
+  const auto withTarget =
     routing::CheapestPlan(kLongRequest, IdleWorker(), slow, { 1, 0.3, 0, 2.7 }, 10s);
-  CHECK(bounded->m_restoreBlocks > 0);
-  CHECK(base::Seconds(bounded->m_firstToken) <= 2.7);
+  CHECK(withTarget->m_restoreBlocks > 0);
+  CHECK(base::Seconds(withTarget->m_firstToken) <= 2.7);
 }
 
 TEST(Estimate, QueueWaitSubtractsReportAgeAndAddsSentWork)
@@ -126,10 +126,10 @@
 
 TEST(Estimate, SentWorkCountsWhenTheReportIsTooOld)
 {
-  WorkerView blind = IdleWorker();
-  blind.m_reportAge = 1h;
-  blind.m_sentSinceReport = 2s;
-  CHECK(routing::QueueWait(blind, 10s) == 2s);
+  WorkerView stale = IdleWorker();
+  stale.m_reportAge = 1h;
+  stale.m_sentSinceReport = 2s;
+  CHECK(routing::QueueWait(stale, 10s) == 2s);
 }
 
 TEST(Estimate, MatchesBruteForceSearch)
