--- a/include/ferrytray/blocks/chain.hpp
+++ b/include/ferrytray/blocks/chain.hpp
@@ -20,7 +20,7 @@
   std::string_view m_weightVersion;
 };
 
-/// @brief Block size of prompts.
+/// @brief Size of a block.
 struct BlockLayout
 {
   std::size_t m_bytesPerBlock = 1024;   ///< prompt bytes that one block covers
--- a/include/ferrytray/cache/change_history.hpp
+++ b/include/ferrytray/cache/change_history.hpp
@@ -51,7 +51,8 @@
   [[nodiscard]] std::uint64_t Next() const { return m_next; }
 
 private:
-  /// Followers poll several times a second, and a store changes some tens of times a second.
+  /// Several seconds of changes: followers poll several times a second, and a store changes some
+  /// tens of times a second.
   static constexpr std::size_t kMaxChanges = 512;
 
   std::uint64_t m_series = 1;
--- a/include/ferrytray/cache/part_planner.hpp
+++ b/include/ferrytray/cache/part_planner.hpp
@@ -21,14 +21,16 @@
   std::uint32_t m_tokens = 0;
 };
 
-/// @brief Whether a part is fetched, and if not, why it has to be prefilled.
+/// @brief Whether a part is fetched from a store, and if not, why.
+///
+/// A part that is in no store may still be fetched from the prompt's home endpoint.
 enum class PartOutcome : std::uint8_t
 {
   Unshared,  ///< the request's own part, or the prompt has too few shared tokens
   Fetched,   ///< fetched from a store
   Saved,     ///< in no store; saved after the prefill
   OnItsWay,  ///< a save for another request is in progress
-  NoRoom,    ///< no store has capacity for it
+  NoRoom,    ///< no store may save it: no capacity, or a recent restart
   NoContact, ///< no store's contents are known recently enough
 };
 
@@ -72,7 +74,8 @@
   /// In prompt order; the last one is the request's own part and is never saved.
   std::span<const PlannedPart> m_parts;
   std::string m_scope; ///< scope of its cached parts (see Scope)
-  std::string m_home;  ///< other endpoint that may hold the parts (IP:PORT), or empty
+  /// Other endpoint that may hold parts that no store has (IP:PORT), or empty.
+  std::string m_home;
   /// Fetches must complete within this time.
   base::Duration m_fetchTimeout = std::chrono::seconds(2);
 };
--- a/include/ferrytray/cache/store_contents.hpp
+++ b/include/ferrytray/cache/store_contents.hpp
@@ -21,7 +21,7 @@
 
 struct ContentsOptions
 {
-  /// Fetches require events that are at most this old, since the store may have restarted in the
+  /// Fetches and saves require events younger than this, since the store may have restarted in the
   /// meantime. The age counts from the request for the events. Covers two reads of 0.5 s, the pause
   /// between them and the relay by another host.
   base::Duration m_maxAge = std::chrono::milliseconds(1900);
--- a/include/ferrytray/control/half_rule.hpp
+++ b/include/ferrytray/control/half_rule.hpp
@@ -4,12 +4,15 @@
 
 namespace ferrytray::control {
 
-/// @brief The owner of a rule that this half's operator has configured.
+/// @brief Which half should serve what a rule covers, as configured by this half's operator.
+///
+/// The system consists of two halves with separate operators and logs. A rule assigns a fleet or a
+/// client account to one of them.
 enum class DesiredOwner : std::uint8_t
 {
-  Here,
-  HandingOver,
-  There,
+  Here,        ///< this half
+  HandingOver, ///< the other half, after this half's gates have drained
+  There,       ///< the other half
 };
 
 /// @brief State of one rule according to this half's configuration and log.
@@ -19,10 +22,10 @@
 struct HalfView
 {
   DesiredOwner m_desiredOwner = DesiredOwner::Here;
-  std::uint64_t m_epoch = 1;          ///< of the configured owner; the first owner has epoch 1
+  std::uint64_t m_epoch = 1;          ///< configured; 1 for the first owner, one more per hand-over
   std::uint64_t m_lastEndedEpoch = 0; ///< the highest epoch that this half ended
-  std::uint64_t m_otherLastEndedEpoch =
-    0; ///< the highest epoch that the other half is known to have ended
+  /// The highest epoch that the other half is known to have ended.
+  std::uint64_t m_otherLastEndedEpoch = 0;
 };
 
 /// @brief Whether the configured epoch belongs to this half and has begun.
--- a/include/ferrytray/control/order_lease.hpp
+++ b/include/ferrytray/control/order_lease.hpp
@@ -65,10 +65,13 @@
   std::uint64_t m_endOffset = 0; ///< as last read; possibly outdated unless m_endKnown
   bool m_endKnown = false;
   std::string m_holder;
-  std::optional<base::TimePoint> m_takeoverAt; ///< another holder may send orders until then
+  /// When this host may take the lease over: at the end of the lease that was read, plus the
+  /// hand-over gap.
+  std::optional<base::TimePoint> m_takeoverAt;
   std::uint64_t m_fencingToken = 0;
-  std::optional<base::TimePoint>
-    m_sentAt; ///< of the append in progress or with an uncertain result
+  /// Send time of the last append, which may be in progress or have an uncertain result.
+  std::optional<base::TimePoint> m_sentAt;
+  /// Send time of this host's newest record; empty without one or after another host's record.
   std::optional<base::TimePoint> m_heldSince;
   bool m_appending = false;
 };
--- a/include/ferrytray/limits/account_limiter.hpp
+++ b/include/ferrytray/limits/account_limiter.hpp
@@ -27,7 +27,7 @@
 struct ShareOptions
 {
   double m_minShare = 0.05;     ///< smallest fraction of a limit that a gate may use
-  double m_overlapFactor = 1.2; ///< shares overlap so that a shift of traffic is not refused
+  double m_overlapFactor = 1.2; ///< shares sum to more than 1, so that shifted traffic is admitted
 };
 
 /// @brief Computes a gate's fraction of an account's limit.
--- a/include/ferrytray/limits/admission_limit.hpp
+++ b/include/ferrytray/limits/admission_limit.hpp
@@ -27,8 +27,8 @@
 ///
 /// When endpoints are lost, the remaining ones would answer every request late. Refusing the excess
 /// immediately keeps the admitted requests on time. Hosts need no coordination, since each observes
-/// the same endpoints slowing down. The limit decreases by a factor and increases by a factor
-/// plus 1.
+/// the same endpoints slowing down. To decrease, the limit is multiplied by m_decreaseFactor; to
+/// increase, it is multiplied by m_increaseFactor and raised by 1.
 class AdmissionLimit
 {
 public:
--- a/include/ferrytray/limits/retry_window.hpp
+++ b/include/ferrytray/limits/retry_window.hpp
@@ -14,8 +14,8 @@
 struct RetryWindowOptions
 {
   double m_ratio = 0.2; ///< retries per first send in the whole system (from the settings)
-  /// Fraction of the ratio that a host uses for its own requests. The rest covers windows that are
-  /// aligned differently here and where the bound is checked.
+  /// Fraction of the ratio that a host uses for its own requests. The rest is a margin, since the
+  /// system-wide bound is checked over windows that begin at other times than this host's.
   double m_hostRatioFraction = 0.8;
   /// Retries allowed without any first send; this host's part of the system-wide allowance.
   double m_minRetries = 1.0;
--- a/include/ferrytray/quarantine/crash_board.hpp
+++ b/include/ferrytray/quarantine/crash_board.hpp
@@ -16,9 +16,9 @@
 
 struct CrashTrackerOptions
 {
-  /// Number of endpoints that crashed, in turn or at once, with no complete answer in between,
-  /// until a request is quarantined. A request that merely runs beside the crashing one seldom
-  /// shares its endpoint that often.
+  /// A request is quarantined when this many endpoints, one after another or at once, have crashed
+  /// while running it and none has answered it completely in between. A request that merely runs
+  /// beside the crashing one seldom shares its endpoint that often.
   std::size_t m_quarantineThreshold = 3;
   /// Threshold for a request that was answered completely before. Endpoints that fail together,
   /// such as those of one rack, may all be running the same popular request.
@@ -38,7 +38,7 @@
   std::size_t m_servedSlots = 8192;
 };
 
-/// @brief Evidence against a request during which endpoints closed their connections.
+/// @brief Evidence against a request: the endpoints that closed its connection early.
 struct Suspicion
 {
   std::vector<EndpointKey> m_crashedEndpoints; ///< sorted, without duplicates
--- a/include/ferrytray/quarantine/record_keeper.hpp
+++ b/include/ferrytray/quarantine/record_keeper.hpp
@@ -16,7 +16,7 @@
 /// @brief A host's role in recording a request; later roles take over if earlier ones fail.
 enum class WriterRole : std::uint8_t
 {
-  Primary,   ///< ranked first for the request by its hash
+  Primary,   ///< among the first hosts in the request's hash order
   LogReader, ///< reads the record log on behalf of other hosts
   NonWriter, ///< records only what it observed itself
 };
--- a/include/ferrytray/routing/candidate.hpp
+++ b/include/ferrytray/routing/candidate.hpp
@@ -12,7 +12,7 @@
   std::uint32_t m_promptTokens = 0;
   std::uint32_t m_blocks = 0; ///< whole KV blocks in the prompt
   std::uint32_t m_tokensPerBlock = 256;
-  double m_bytesPerBlock = 0; ///< transferred over a store's link
+  double m_bytesPerBlock = 0; ///< transferred to import a block from a store
 };
 
 /// @brief State of a worker as the gate currently knows it.
@@ -45,8 +45,8 @@
   static constexpr double kLateFactor = 5;
 
   double m_firstToken = 1;
-  double m_recompute = 0;
-  double m_link = 0;
+  double m_recompute = 0;     ///< per second spent recomputing cached or stored tokens
+  double m_link = 0;          ///< per second of transfer on the store's link
   double m_targetSeconds = 0; ///< target time to first token (s); 0: none
 };
 
--- a/include/ferrytray/routing/endpoint_tracker.hpp
+++ b/include/ferrytray/routing/endpoint_tracker.hpp
@@ -14,7 +14,7 @@
 {
   base::Duration m_initialBackoff = std::chrono::milliseconds(500); ///< doubles per failure
   base::Duration m_maxBackoff = std::chrono::milliseconds(4000);
-  /// Upper limit, and the value for endpoints that have not announced an idle timeout.
+  /// Upper limit of MaxIdle(), and its value for endpoints that have not announced a timeout.
   base::Duration m_maxIdle = std::chrono::milliseconds(4000);
   /// Subtracted from the announced idle timeout.
   base::Duration m_idleMargin = std::chrono::milliseconds(1000);
--- a/include/ferrytray/routing/placement.hpp
+++ b/include/ferrytray/routing/placement.hpp
@@ -27,7 +27,7 @@
   /// days with high load.
   double m_overloadBase = 24;
   double m_overloadMeanFactor = 1.3;
-  /// Number of homes per key; if the first is overloaded, the least loaded one is chosen.
+  /// Number of homes per key; if the first is overloaded or full, the least loaded one is chosen.
   std::size_t m_homeCount = 4;
 };
 
--- a/src/ferrytray/cache/part_planner_test.cpp
+++ b/src/ferrytray/cache/part_planner_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 const base::TimePoint kStart = base::TimePoint(base::Duration(5'000'000));
-const base::TimePoint kSettled = kStart + 5s;
+const base::TimePoint kSettled = kStart + 5s; // past the save delay of stores first read at kStart
 
 void ReportEvents(cache::Stores& aStores,
                   base::TimePoint aNow,
--- a/src/ferrytray/membership/member_table.cpp
+++ b/src/ferrytray/membership/member_table.cpp
@@ -274,8 +274,8 @@
   for (const auto& [host, row] : m_rows) {
     const auto& tickets = row.m_member.m_tickets;
     const bool has = std::find(tickets.begin(), tickets.end(), aIncarnation) != tickets.end();
-    // Several members may list the incarnation after a hand-over; prefers the last one that is
-    // alive.
+    // Several members may list the incarnation after a hand-over. The last one that is alive, in
+    // host order, is assumed to have got the tickets; the first one listed if none is alive.
     if (has && IsUsable(row.m_member) &&
         (holder == nullptr || row.m_member.m_state == MemberState::Alive)) {
       holder = &row.m_member;
--- a/src/ferrytray/quarantine/crash_board_test.cpp
+++ b/src/ferrytray/quarantine/crash_board_test.cpp
@@ -96,7 +96,7 @@
   CHECK_FALSE(other.IsQuarantined(m_good));
   ForwardNotices(other, m_tracker);
   CHECK_FALSE(m_tracker.IsQuarantined(m_good));
-  // Notices that arrive late a second time are ignored.
+  // The notices of the crashes, delivered again after the answer, are ignored.
   ForwardNotices(m_tracker, other);
   CHECK_FALSE(other.Find(m_good).has_value());
 }
@@ -223,7 +223,8 @@
   LONGS_EQUAL(3, log.Since(77, 10).size()); // an offset of another process's log
 }
 
-// An address that closed every connection at once made a popular request a suspect repeatedly.
+// Guards against a former fault: an address that closed each new connection immediately made a
+// popular request a suspect again and again.
 TEST(CrashTracker, IgnoresBreaksOfRequestsSentWhileTheEndpointIsDown)
 {
   BreakConnection(m_crashing, 1);
@@ -237,7 +238,7 @@
   CHECK_FALSE(m_tracker.Find(Request("third")).has_value());
 }
 
-// A reset link looks like a crash; the endpoint may really crash later.
+// The first break may have been a reset link, so a later one must be counted as a crash.
 TEST(CrashTracker, CountsABreakAfterTheAssumedDowntime)
 {
   BreakConnection(m_good, 1);
--- a/src/ferrytray/quarantine/notice_log.cpp
+++ b/src/ferrytray/quarantine/notice_log.cpp
@@ -35,7 +35,8 @@
 
 std::size_t NoticeLog::IndexOf(NoticeOffset aFrom) const
 {
-  // An offset beyond the end belongs to an earlier process's log, so the reader needs all notices.
+  // The notices at lower offsets were dropped; an offset beyond the end belongs to the log of an
+  // earlier process. In both cases the reader needs all stored notices.
   const bool known = aFrom >= m_begin && aFrom <= End();
   return known ? static_cast<std::size_t>(aFrom - m_begin) : 0;
 }
