--- a/include/ferrytray/relay/candidates.hpp
+++ b/include/ferrytray/relay/candidates.hpp
@@ -30,7 +30,7 @@
 /// @param aService null: the configuration does not declare the service
 /// @param aRequirements empty for requests without a prompt
 /// @param aExcluded incarnations that must not be selected
-/// @param aCold whether this host or the dispatcher selects a cold endpoint
+/// @param aColdSource whether this host or the dispatcher selects a cold endpoint
 /// @param aAssigned incarnation assigned by the dispatcher, accepted even if it is cold; may be
 /// empty
 [[nodiscard]] Candidates FindCandidates(RelayCore& aCore,
@@ -38,7 +38,7 @@
                                         const fleet::Service* aService,
                                         const std::optional<PromptRequirements>& aRequirements,
                                         const std::set<std::string>& aExcluded,
-                                        routing::ColdTrafficSource aCold,
+                                        routing::ColdTrafficSource aColdSource,
                                         const std::string& aAssigned,
                                         base::TimePoint aNow);
 
--- a/include/ferrytray/relay/cold_engines.hpp
+++ b/include/ferrytray/relay/cold_engines.hpp
@@ -17,13 +17,13 @@
 /// @brief Whether the rate limit of cold endpoints permits a send to this one now.
 [[nodiscard]] bool MaySendToCold(const RelayCore& aCore,
                                  const fleet::Endpoint& aEndpoint,
-                                 routing::ColdTrafficSource aUse,
+                                 routing::ColdTrafficSource aSource,
                                  base::TimePoint aNow);
 
 /// @brief Counts a request that is sent to the endpoint or assigned to it.
 void RecordColdSend(RelayCore& aCore,
                     const fleet::Endpoint& aEndpoint,
-                    routing::ColdTrafficSource aUse,
+                    routing::ColdTrafficSource aSource,
                     base::TimePoint aNow);
 
 /// @brief Treats the endpoint as cold because it was unreachable or received no requests for long:
--- a/include/ferrytray/relay/exchange.hpp
+++ b/include/ferrytray/relay/exchange.hpp
@@ -119,7 +119,8 @@
   std::string m_lastEndpoint;
   routing::Work m_lastOpenWork = 0; ///< of the last send, for the log
   bool m_lastAtHome = true;
-  std::array<std::uint64_t, cache::kPartOutcomes> m_lastTokensByFate{}; ///< by cache::PartOutcome
+  std::array<std::uint64_t, cache::kPartOutcomes>
+    m_lastTokensByOutcome{};                     ///< by cache::PartOutcome
   std::optional<base::TimePoint> m_firstEventAt; ///< when the reply's first event was forwarded
   bool m_isProbe = false;                        ///< sent once although the request is quarantined
   bool m_done = false;
--- a/include/ferrytray/relay/prompt_dispatcher.hpp
+++ b/include/ferrytray/relay/prompt_dispatcher.hpp
@@ -39,7 +39,9 @@
   using Done = std::function<void(Assignment)>;
 
   /// Keeps references to both. Registers the handler for assignment requests of other hosts.
-  PromptDispatcher(RelayCore& aCore, peers::PeerExchange& aNews, DispatchOptions aOptions = {});
+  PromptDispatcher(RelayCore& aCore,
+                   peers::PeerExchange& aPeerExchange,
+                   DispatchOptions aOptions = {});
 
   /// @brief Requests the engine for a prompt.
   /// @param aDone called once, possibly before this function returns
@@ -70,7 +72,7 @@
   };
 
   RelayCore& m_core;
-  peers::PeerExchange& m_news;
+  peers::PeerExchange& m_peerExchange;
   DispatchOptions m_options;
   routing::PrefillQueues m_queues;
   peers::UnreachableTable m_unreachable;
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -32,14 +32,14 @@
   /// @brief This host hears from no other host: reads the record log at once.
   void OnIsolated() { m_topic->RestartRead(); }
   /// @brief The crash board has changed.
-  void OnBoardChanged();
+  void OnTrackerChanged();
   /// @brief Records that the quarantined request is sent once as a probe.
   /// @param aDone called once, with whether this host may send it
   void ClaimProbe(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
   /// @brief Sets the function that decides which hosts record what other hosts saw.
-  void SetRankFunction(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
+  void SetRoleFunction(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
   {
-    m_rankOf = std::move(aCall);
+    m_roleOf = std::move(aCall);
   }
 
 private:
@@ -51,8 +51,8 @@
   RelayCore& m_core;
   store::RecordLog& m_log;
   std::string m_topicName;
-  quarantine::RecordReconciler m_keeper;
-  std::function<quarantine::WriterRole(const quarantine::RequestKey&)> m_rankOf;
+  quarantine::RecordReconciler m_reconciler;
+  std::function<quarantine::WriterRole(const quarantine::RequestKey&)> m_roleOf;
   std::shared_ptr<store::TopicFollower> m_topic;
   std::set<quarantine::RequestKey> m_pendingClaims;
   std::set<quarantine::RequestKey> m_loggedRequests; ///< quarantined requests as last logged
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -93,7 +93,7 @@
   RelayOptions m_options;
   fleet::ConfigurationPtr m_configuration; ///< null until the first one is read
   fleet::Directory m_directory;
-  routing::EndpointTracker m_endpointBoard;
+  routing::EndpointTracker m_endpointTracker;
   routing::ColdStarts m_coldStarts;
   /// Whether this host is among the first aFirst hosts by a hash of aName; false while the other
   /// hosts are unknown. If unset: false.
--- a/include/ferrytray/relay/relay_host.hpp
+++ b/include/ferrytray/relay/relay_host.hpp
@@ -46,7 +46,7 @@
   const WireFormat& m_wire;
   const RecordFormat& m_records;
   store::RecordLog& m_log;
-  rollout::EngineClient& m_orders;
+  rollout::EngineClient& m_engineClient;
   cache::StoreFeed& m_stores;
   PartFreer& m_freer;
 };
@@ -87,7 +87,7 @@
   StateFeeds m_feeds;
   QuarantineFeed m_quarantine;
   StoreWatch m_stores;
-  peers::PeerExchange m_news;
+  peers::PeerExchange m_peerExchange;
   PromptDispatcher m_dispatcher;
   UpkeepDuty m_upkeep;
   rollout::RolloutDriver m_rollout;
--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -33,7 +33,7 @@
 private:
   RelayCore& m_core;
   PartFreer& m_freer;
-  cache::StoreCleanup m_upkeep;
+  cache::StoreCleanup m_cleanup;
   std::vector<cache::FreeParts> m_pendingFrees;
   base::TimePoint m_plannedAt{};
 };
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -100,7 +100,7 @@
   call.m_account = m_routeMatch.m_account == nullptr ? "" : m_routeMatch.m_account->m_name;
   call.m_resumeAfter = aResumeAfter;
   call.m_repeatable = m_routeMatch.m_route->IsRepeatable();
-  call.m_maxIdle = m_core.m_endpointBoard.MaxIdle(endpoint.m_incarnation);
+  call.m_maxIdle = m_core.m_endpointTracker.MaxIdle(endpoint.m_incarnation);
   if (m_request.m_prompt) {
     call.m_rank = RankOf(endpoint.m_service);
     const std::string& model = m_request.m_prompt->m_model;
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -60,7 +60,7 @@
                           const fleet::Service* aService,
                           const std::optional<PromptRequirements>& aRequirements,
                           const std::set<std::string>& aExcluded,
-                          routing::ColdTrafficSource aCold,
+                          routing::ColdTrafficSource aColdSource,
                           const std::string& aAssigned,
                           base::TimePoint aNow)
 {
@@ -76,17 +76,17 @@
     const bool outdated =
       aRequirements && HasOutdatedWeights(aCore, *endpoint, *aRequirements, aNow);
     if (aExcluded.contains(incarnation) ||
-        aCore.m_endpointBoard.OpenRequests(incarnation) >= maxOpen || outdated) {
+        aCore.m_endpointTracker.OpenRequests(incarnation) >= maxOpen || outdated) {
       continue;
     }
-    if (incarnation != aAssigned && !MaySendToCold(aCore, *endpoint, aCold, aNow)) {
+    if (incarnation != aAssigned && !MaySendToCold(aCore, *endpoint, aColdSource, aNow)) {
       continue;
     }
     const peers::EndpointTag tag = peers::TagOf(incarnation);
     const routing::Work work =
-      aCore.m_endpointBoard.WorkOfOpenRequests(incarnation) + aCore.m_peerLoads.RemoteLoad(tag);
+      aCore.m_endpointTracker.WorkOfOpenRequests(incarnation) + aCore.m_peerLoads.RemoteLoad(tag);
     const bool reloading = aRequirements && aCore.m_reloads.IsReloading(tag, aNow);
-    const bool avoided = reloading || aCore.m_endpointBoard.IsAvoided(incarnation, aNow) ||
+    const bool avoided = reloading || aCore.m_endpointTracker.IsAvoided(incarnation, aNow) ||
                          HasCrashed(aCore, incarnation, aNow);
     candidates.m_endpoints.push_back(endpoint);
     candidates.m_placements.push_back(
--- a/src/ferrytray/relay/cold_engines.cpp
+++ b/src/ferrytray/relay/cold_engines.cpp
@@ -21,7 +21,7 @@
 
 bool MaySendToCold(const RelayCore& aCore,
                    const fleet::Endpoint& aEndpoint,
-                   routing::ColdTrafficSource aUse,
+                   routing::ColdTrafficSource aSource,
                    base::TimePoint aNow)
 {
   const std::string& incarnation = aEndpoint.m_incarnation;
@@ -29,22 +29,23 @@
       FindColdTraits(aCore, aEndpoint.m_service) == nullptr) {
     return true;
   }
-  if (!aCore.m_coldStarts.MaySend(incarnation, aUse, aNow)) {
+  if (!aCore.m_coldStarts.MaySend(incarnation, aSource, aNow)) {
     return false;
   }
-  return aUse == routing::ColdTrafficSource::Assigned ||
+  return aSource == routing::ColdTrafficSource::Assigned ||
          (aCore.m_isAmongFirstHosts &&
           aCore.m_isAmongFirstHosts(incarnation, aCore.m_coldStarts.SendersPerEngine()));
 }
 
 void RecordColdSend(RelayCore& aCore,
                     const fleet::Endpoint& aEndpoint,
-                    routing::ColdTrafficSource aUse,
+                    routing::ColdTrafficSource aSource,
                     base::TimePoint aNow)
 {
   const fleet::ColdTraits* traits = FindColdTraits(aCore, aEndpoint.m_service);
   if (traits != nullptr && aCore.m_coldStarts.IsCold(aEndpoint.m_incarnation, aNow)) {
-    aCore.m_coldStarts.OnSent(aEndpoint.m_incarnation, aUse, ColdRateLimit(aCore, *traits), aNow);
+    aCore.m_coldStarts.OnSent(
+      aEndpoint.m_incarnation, aSource, ColdRateLimit(aCore, *traits), aNow);
   }
 }
 
--- a/src/ferrytray/relay/cold_engines_test.cpp
+++ b/src/ferrytray/relay/cold_engines_test.cpp
@@ -96,10 +96,10 @@
   {
     return std::uniform_real_distribution<double>(aLeast, aMost)(m_random);
   }
-  void SendIfAllowed(ColdStarts& aCold, ColdTrafficSource aUse, base::Duration aAt)
+  void SendIfAllowed(ColdStarts& aCold, ColdTrafficSource aSource, base::Duration aAt)
   {
-    if (aCold.MaySend("e", aUse, kNow + aAt)) {
-      aCold.OnSent("e", aUse, kColdPerSecond, kNow + aAt);
+    if (aCold.MaySend("e", aSource, kNow + aAt)) {
+      aCold.OnSent("e", aSource, kColdPerSecond, kNow + aAt);
       m_sent.push_back(aAt);
     }
   }
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -148,9 +148,9 @@
   m_lastEndpoint = endpoint->m_incarnation;
   m_lastOpenWork = target.m_openWork;
   m_lastAtHome = target.m_partSource.empty();
-  m_lastTokensByFate = call.m_tokensByOutcome;
+  m_lastTokensByOutcome = call.m_tokensByOutcome;
   ++m_sends;
-  m_core.m_endpointBoard.OnSent(endpoint->m_incarnation, m_work);
+  m_core.m_endpointTracker.OnSent(endpoint->m_incarnation, m_work);
   if (endpoint->m_incarnation != m_assigned.m_engine) {
     RecordColdSend(m_core, *endpoint, routing::ColdTrafficSource::Own, m_attempt->m_sentAt);
   }
@@ -181,7 +181,7 @@
   }
   Attempt attempt = std::move(*m_attempt);
   m_attempt.reset();
-  m_core.m_endpointBoard.OnEnded(attempt.m_incarnation, m_work);
+  m_core.m_endpointTracker.OnEnded(attempt.m_incarnation, m_work);
   if (IsSuccess(attempt) && aOutcome.m_end == net::WireEnd::Complete) {
     RecordSuccess();
     Deliver(std::move(attempt));
@@ -239,7 +239,7 @@
   m_endpointsUsed += ran ? 1 : 0;
   if (aOutcome == AttemptOutcome::NotSent ||
       (aOutcome == AttemptOutcome::Broken && !aAttempt.m_head)) {
-    m_core.m_endpointBoard.OnUnreachable(aAttempt.m_incarnation, now);
+    m_core.m_endpointTracker.OnUnreachable(aAttempt.m_incarnation, now);
     if (const fleet::Endpoint* endpoint = m_core.m_directory.Find(aAttempt.m_incarnation)) {
       SuspectColdStart(m_core, *endpoint, now);
     }
@@ -248,7 +248,7 @@
       // Its weights are known now, or its incarnation is gone: the endpoint may be tried again.
       m_triedEndpoints.erase(aAttempt.m_incarnation);
     } else {
-      m_core.m_endpointBoard.OnFull(aAttempt.m_incarnation, now);
+      m_core.m_endpointTracker.OnFull(aAttempt.m_incarnation, now);
     }
   }
   const int status = aAttempt.m_head ? aAttempt.m_head->m_status : 0;
--- a/src/ferrytray/relay/exchange_end.cpp
+++ b/src/ferrytray/relay/exchange_end.cpp
@@ -20,7 +20,7 @@
 {
   if (m_attempt) {
     m_core.m_client.Cancel(m_attempt->m_callId);
-    m_core.m_endpointBoard.OnEnded(m_attempt->m_incarnation, m_work);
+    m_core.m_endpointTracker.OnEnded(m_attempt->m_incarnation, m_work);
     m_mayHaveRun = true;
     m_attempt.reset();
   }
@@ -54,7 +54,7 @@
   const bool anywhere = m_core.m_crashes.MayProbeAnyEndpoint(m_requestKey, m_arrivedAt);
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(m_service)) {
     const std::string& incarnation = endpoint->m_incarnation;
-    const bool repliedRecently = anywhere || m_core.m_endpointBoard.AnsweredSince(
+    const bool repliedRecently = anywhere || m_core.m_endpointTracker.AnsweredSince(
                                                incarnation, m_arrivedAt - kRecentReplyWindow);
     if (!repliedRecently || m_core.m_crashes.HasCrashed(peers::KeyOf(incarnation))) {
       m_triedEndpoints.insert(incarnation);
@@ -192,8 +192,9 @@
   if (m_request.m_prompt) {
     line.Add("began_ms", m_firstEventAt ? base::ToMillis(*m_firstEventAt - m_arrivedAt) : -1L)
       .Add("prompt_tokens", m_request.m_prompt->m_inputTokens);
-    for (std::size_t fate = 0; fate < m_lastTokensByFate.size(); ++fate) {
-      line.Add(cache::ToString(static_cast<cache::PartOutcome>(fate)), m_lastTokensByFate.at(fate));
+    for (std::size_t outcome = 0; outcome < m_lastTokensByOutcome.size(); ++outcome) {
+      line.Add(cache::ToString(static_cast<cache::PartOutcome>(outcome)),
+               m_lastTokensByOutcome.at(outcome));
     }
   }
 }
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -25,9 +25,9 @@
 
 void Exchange::UpdateEndpointState(const ReplyHead& aHead)
 {
-  m_core.m_endpointBoard.OnReply(m_attempt->m_incarnation, base::MonotonicNow());
+  m_core.m_endpointTracker.OnReply(m_attempt->m_incarnation, base::MonotonicNow());
   if (aHead.m_idleTimeout) {
-    m_core.m_endpointBoard.OnIdleTimeout(m_attempt->m_incarnation, *aHead.m_idleTimeout);
+    m_core.m_endpointTracker.OnIdleTimeout(m_attempt->m_incarnation, *aHead.m_idleTimeout);
   }
   if (m_request.m_prompt && aHead.m_weights) {
     m_core.m_directory.NoteProvenWeights(
--- a/src/ferrytray/relay/exchange_test.cpp
+++ b/src/ferrytray/relay/exchange_test.cpp
@@ -135,8 +135,8 @@
   const auto onClosed = reply->m_onClosed;
   onClosed();
   CHECK(m_client.m_calls[0].m_cancelled);
-  LONGS_EQUAL(0,
-              m_core.m_endpointBoard.OpenRequests("a") + m_core.m_endpointBoard.OpenRequests("b"));
+  LONGS_EQUAL(
+    0, m_core.m_endpointTracker.OpenRequests("a") + m_core.m_endpointTracker.OpenRequests("b"));
 }
 
 TEST(Exchange, UnknownKeyOrPathIsDeniedOnlyByFreshConfiguration)
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -16,13 +16,13 @@
 namespace ferrytray::relay {
 
 PromptDispatcher::PromptDispatcher(RelayCore& aCore,
-                                   peers::PeerExchange& aNews,
+                                   peers::PeerExchange& aPeerExchange,
                                    DispatchOptions aOptions)
   : m_core(aCore)
-  , m_news(aNews)
+  , m_peerExchange(aPeerExchange)
   , m_options(aOptions)
 {
-  m_news.OnPlacement(
+  m_peerExchange.OnPlacement(
     [this](const peers::PlacementRequest& aRequest) { return AssignEngine(aRequest); });
 }
 
@@ -33,7 +33,7 @@
 {
   const base::TimePoint now = base::MonotonicNow();
   peers::PlacementRequest request;
-  request.m_host = m_news.Name();
+  request.m_host = m_peerExchange.Name();
   request.m_unreachable = UnreachableEngines(aService, now);
   request.m_service = aService;
   request.m_model = aPrompt.m_model;
@@ -42,7 +42,7 @@
   request.m_tokens = aPrompt.m_inputTokens;
   request.m_uncachedTokens = PrefillTokens(aPrompt, aAccount, now);
   request.m_unsharedTokens = aPrompt.m_parts.empty() ? 0 : aPrompt.m_parts.back().m_tokens;
-  const std::optional<peers::Peer> host = m_news.PlacementHost(request.m_zone, now);
+  const std::optional<peers::Peer> host = m_peerExchange.PlacementHost(request.m_zone, now);
   const auto backoff = host ? m_backoffUntil.find(host->m_name) : m_backoffUntil.end();
   if (!host || (backoff != m_backoffUntil.end() && now < backoff->second)) {
     aDone({});
@@ -55,24 +55,25 @@
                        aReply.m_idle,
                        aReply.m_memoryFull };
   };
-  if (m_news.IsSelf(*host)) {
+  if (m_peerExchange.IsSelf(*host)) {
     aDone(toAssignment(AssignEngine(request)));
     return;
   }
-  if (const auto seen = std::exchange(m_prefillSample, std::nullopt)) {
-    request.m_sampleTokens = seen->m_tokens;
+  if (const auto sample = std::exchange(m_prefillSample, std::nullopt)) {
+    request.m_sampleTokens = sample->m_tokens;
     request.m_sampleMillis = static_cast<std::uint32_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(seen->m_duration).count());
+      std::chrono::duration_cast<std::chrono::milliseconds>(sample->m_duration).count());
   }
-  m_news.RequestPlacement(*host,
-                          request,
-                          [this, name = host->m_name, toAssignment, done = std::move(aDone)](
-                            std::optional<peers::PlacementReply> aReply) {
-                            if (!aReply) {
-                              m_backoffUntil[name] = base::MonotonicNow() + m_options.m_hostBackoff;
-                            }
-                            done(aReply ? toAssignment(std::move(*aReply)) : Assignment{});
-                          });
+  m_peerExchange.RequestPlacement(
+    *host,
+    request,
+    [this, name = host->m_name, toAssignment, done = std::move(aDone)](
+      std::optional<peers::PlacementReply> aReply) {
+      if (!aReply) {
+        m_backoffUntil[name] = base::MonotonicNow() + m_options.m_hostBackoff;
+      }
+      done(aReply ? toAssignment(std::move(*aReply)) : Assignment{});
+    });
 }
 
 peers::PlacementReply PromptDispatcher::AssignEngine(const peers::PlacementRequest& aRequest)
@@ -114,7 +115,8 @@
     }
   }
   // This host's own prompts are counted when they are sent.
-  const std::uint32_t uncountedTokens = aRequest.m_host == m_news.Name() ? 0 : aRequest.m_tokens;
+  const std::uint32_t uncountedTokens =
+    aRequest.m_host == m_peerExchange.Name() ? 0 : aRequest.m_tokens;
   const routing::PrefillJob job{
     aRequest.m_key, uncountedTokens, aRequest.m_uncachedTokens, aRequest.m_unsharedTokens
   };
@@ -140,7 +142,7 @@
 {
   std::vector<peers::EndpointTag> unreachable;
   for (const fleet::Endpoint* endpoint : m_core.m_directory.Usable(aService)) {
-    if (m_core.m_endpointBoard.IsAvoided(endpoint->m_incarnation, aNow)) {
+    if (m_core.m_endpointTracker.IsAvoided(endpoint->m_incarnation, aNow)) {
       unreachable.push_back(peers::TagOf(endpoint->m_incarnation));
     }
   }
--- a/src/ferrytray/relay/prompt_dispatcher_test.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher_test.cpp
@@ -17,12 +17,12 @@
 TEST_GROUP_BASE(PromptDispatcher, support::ExchangeFixture)
 {
   support::MemoryRecordLog m_log;
-  std::optional<peers::PeerExchange> m_news;
+  std::optional<peers::PeerExchange> m_peerExchange;
   std::optional<relay::PromptDispatcher> m_dispatcher;
 
   void teardown() override
   {
-    m_news->Stop();
+    m_peerExchange->Stop();
   }
 
   void StartDispatcher(std::uint32_t aCapacity)
@@ -39,18 +39,18 @@
                       "strong",
                       peers::Encode(peers::Peer{ "strong", "z", "10.0.0.1:7", 5 }),
                       [](const auto&) {});
-    m_news.emplace(m_loop,
-                   m_client,
-                   m_log,
-                   m_core.m_stores,
-                   m_core.m_peerLoads,
-                   m_core.m_reloads,
-                   m_core.m_crashes,
-                   options);
-    m_news->SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
-    m_dispatcher.emplace(m_core, *m_news);
-    CHECK(m_news->Start().has_value());
-    for (int i = 0; i < 1000 && !m_news->PlacementHost("", base::MonotonicNow()); ++i) {
+    m_peerExchange.emplace(m_loop,
+                           m_client,
+                           m_log,
+                           m_core.m_stores,
+                           m_core.m_peerLoads,
+                           m_core.m_reloads,
+                           m_core.m_crashes,
+                           options);
+    m_peerExchange->SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
+    m_dispatcher.emplace(m_core, *m_peerExchange);
+    CHECK(m_peerExchange->Start().has_value());
+    for (int i = 0; i < 1000 && !m_peerExchange->PlacementHost("", base::MonotonicNow()); ++i) {
       m_loop.RunFor(1ms);
     }
     m_client.m_calls.clear();
--- a/src/ferrytray/relay/quarantine_feed.cpp
+++ b/src/ferrytray/relay/quarantine_feed.cpp
@@ -28,7 +28,7 @@
   : m_core(aCore)
   , m_log(aLog)
   , m_topicName(std::move(aTopic))
-  , m_rankOf([](const quarantine::RequestKey&) { return quarantine::WriterRole::NonWriter; })
+  , m_roleOf([](const quarantine::RequestKey&) { return quarantine::WriterRole::NonWriter; })
 {
   store::FollowOptions follow;
   follow.m_topic = m_topicName;
@@ -62,7 +62,7 @@
 
 void QuarantineFeed::Start()
 {
-  m_recordTimer = m_core.m_loop.Every(kRecordInterval, [this] { OnBoardChanged(); });
+  m_recordTimer = m_core.m_loop.Every(kRecordInterval, [this] { OnTrackerChanged(); });
 }
 
 void QuarantineFeed::Stop()
@@ -74,18 +74,18 @@
 
 void QuarantineFeed::OnLocalChange(const quarantine::RequestKey& aRequest)
 {
-  m_keeper.OnLocalObservation(aRequest);
-  OnBoardChanged();
+  m_reconciler.OnLocalObservation(aRequest);
+  OnTrackerChanged();
 }
 
-void QuarantineFeed::OnBoardChanged()
+void QuarantineFeed::OnTrackerChanged()
 {
   LogChanges();
   if (m_stopped || !m_core.m_crashesLoaded) {
     return;
   }
   for (const quarantine::RecordWrite& write :
-       m_keeper.DueWrites(m_core.m_crashes, m_rankOf, base::MonotonicNow())) {
+       m_reconciler.DueWrites(m_core.m_crashes, m_roleOf, base::MonotonicNow())) {
     Write(write);
   }
 }
@@ -97,7 +97,8 @@
                     base::ToHex(aWrite.m_request),
                     value,
                     [this, aWrite](const base::Result<store::AppendResult>& aResult) {
-                      m_keeper.OnWriteFinished(aWrite, aResult.has_value(), base::MonotonicNow());
+                      m_reconciler.OnWriteFinished(
+                        aWrite, aResult.has_value(), base::MonotonicNow());
                       if (!aResult) {
                         telemetry::LogLine("quarantine")
                           .Add("request_key", base::ToHex(aWrite.m_request))
@@ -147,7 +148,7 @@
   }
   if (aRecord.m_removed) {
     m_core.m_crashes.OnRecordRemoved(*request);
-    m_keeper.OnRecordRead(*request, std::nullopt);
+    m_reconciler.OnRecordRead(*request, std::nullopt);
     LogChanges();
     return;
   }
@@ -157,17 +158,17 @@
     return;
   }
   m_core.m_crashes.OnRecord(*request, *read, base::MonotonicNow());
-  m_keeper.OnRecordRead(*request, std::move(*read));
+  m_reconciler.OnRecordRead(*request, std::move(*read));
   LogChanges();
 }
 
 void QuarantineFeed::OnSnapshot(const std::set<std::string>& aKeys)
 {
   m_core.m_crashesLoaded = true;
-  for (const quarantine::RequestKey& request : m_keeper.RecordedRequests()) {
+  for (const quarantine::RequestKey& request : m_reconciler.RecordedRequests()) {
     if (!aKeys.contains(base::ToHex(request))) {
       m_core.m_crashes.OnRecordRemoved(request);
-      m_keeper.OnRecordRead(request, std::nullopt);
+      m_reconciler.OnRecordRead(request, std::nullopt);
     }
   }
   LogChanges();
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -44,20 +44,20 @@
   , m_feeds(m_core, m_log, aPorts.m_records, m_options.m_feeds)
   , m_quarantine(m_core, m_log, aPorts.m_records.QuarantineTopic(), m_options.m_feeds)
   , m_stores(m_core, aPorts.m_stores)
-  , m_news(aLoop,
-           aPorts.m_client,
-           m_log,
-           m_core.m_stores,
-           m_core.m_peerLoads,
-           m_core.m_reloads,
-           m_core.m_crashes,
-           WithTopic(m_options.m_peers, aPorts.m_records))
-  , m_dispatcher(m_core, m_news)
+  , m_peerExchange(aLoop,
+                   aPorts.m_client,
+                   m_log,
+                   m_core.m_stores,
+                   m_core.m_peerLoads,
+                   m_core.m_reloads,
+                   m_core.m_crashes,
+                   WithTopic(m_options.m_peers, aPorts.m_records))
+  , m_dispatcher(m_core, m_peerExchange)
   , m_upkeep(m_core, aPorts.m_freer)
   , m_rollout(aLoop,
               m_log,
               m_core.m_directory,
-              aPorts.m_orders,
+              aPorts.m_engineClient,
               m_core.m_desiredWeights,
               m_options.m_rollout)
 {
@@ -69,24 +69,24 @@
   if (!listening) {
     return listening;
   }
-  m_news.OnReaderChange([this](bool aIsReader) {
+  m_peerExchange.OnReaderChange([this](bool aIsReader) {
     m_stores.SetReader(aIsReader);
     m_rollout.SetStandby(!aIsReader);
   });
   for (auto& topic : m_feeds.Topics()) {
-    m_news.AddTopic(std::move(topic));
+    m_peerExchange.AddTopic(std::move(topic));
   }
-  m_news.AddTopic(m_quarantine.Topic());
+  m_peerExchange.AddTopic(m_quarantine.Topic());
   m_core.m_dispatcher = &m_dispatcher;
   m_core.m_onEndpointReplaced = [this](const std::string& aIncarnation) {
-    m_news.ReportReplaced(aIncarnation);
+    m_peerExchange.ReportReplaced(aIncarnation);
   };
-  m_news.OnReplaced([this](peers::IncarnationKey aKey) { OnEndpointReplaced(aKey); });
+  m_peerExchange.OnReplaced([this](peers::IncarnationKey aKey) { OnEndpointReplaced(aKey); });
   m_core.m_isAmongFirstHosts = [this](const std::string& aName, std::size_t aFirst) {
-    return m_news.IsAmongFirst(aName, aFirst);
+    return m_peerExchange.IsAmongFirst(aName, aFirst);
   };
-  m_news.SetOwnLoadsProvider([this] { return LocalLoads(); });
-  m_news.OnReloads([this] { m_rollout.NoteOrderByOtherHost(base::MonotonicNow()); });
+  m_peerExchange.SetOwnLoadsProvider([this] { return LocalLoads(); });
+  m_peerExchange.OnReloads([this] { m_rollout.NoteOrderByOtherHost(base::MonotonicNow()); });
   m_feeds.OnConfigured([this] {
     m_stores.OnConfiguration();
     if (!m_core.m_crashesLoaded && !m_quarantineLoadTimer) {
@@ -95,8 +95,8 @@
     }
   });
   StartQuarantine();
-  if (base::Result<void> news = m_news.Start(); !news) {
-    return news;
+  if (base::Result<void> started = m_peerExchange.Start(); !started) {
+    return started;
   }
   m_rollout.SetStandby(true); // until this host is known to be one of the readers
   m_rollout.AddDuty(m_upkeep);
@@ -126,18 +126,18 @@
   m_core.m_onCrashesChanged = [this](const quarantine::RequestKey& aRequest) {
     OnCrashesChanged(aRequest);
   };
-  m_news.OnCrashes([this] { m_quarantine.OnBoardChanged(); });
-  m_quarantine.SetRankFunction([this](const quarantine::RequestKey& aRequest) {
+  m_peerExchange.OnCrashes([this] { m_quarantine.OnTrackerChanged(); });
+  m_quarantine.SetRoleFunction([this](const quarantine::RequestKey& aRequest) {
     constexpr std::size_t kFirstWriters = 2;
-    if (m_news.IsAmongFirst(base::ToHex(aRequest), kFirstWriters)) {
+    if (m_peerExchange.IsAmongFirst(base::ToHex(aRequest), kFirstWriters)) {
       return quarantine::WriterRole::Primary;
     }
-    return m_news.IsReader() ? quarantine::WriterRole::LogReader
-                             : quarantine::WriterRole::NonWriter;
+    return m_peerExchange.IsReader() ? quarantine::WriterRole::LogReader
+                                     : quarantine::WriterRole::NonWriter;
   });
   m_core.m_claimProbe = [this](const quarantine::RequestKey& aRequest,
                                std::function<void(bool)> aDone) {
-    if (m_news.IsAmongFirst(base::ToHex(aRequest), 1)) {
+    if (m_peerExchange.IsAmongFirst(base::ToHex(aRequest), 1)) {
       m_quarantine.ClaimProbe(aRequest, std::move(aDone));
     } else {
       aDone(false);
@@ -146,7 +146,7 @@
   m_quarantine.Start();
   const base::Duration interval = m_options.m_feeds.m_quarantineIsolatedInterval;
   m_isolationTimer = m_loop.Every(interval, [this, interval] {
-    if (m_news.IsIsolated(interval, base::MonotonicNow())) {
+    if (m_peerExchange.IsIsolated(interval, base::MonotonicNow())) {
       m_quarantine.OnIsolated();
     }
   });
@@ -158,7 +158,7 @@
   if (!m_crashNoticeTimer) {
     m_crashNoticeTimer = m_loop.After(kCrashNoticeDelay, [this] {
       m_crashNoticeTimer.reset();
-      m_news.PushCrashes();
+      m_peerExchange.PushCrashes();
     });
   }
 }
@@ -229,7 +229,7 @@
   }
   for (const fleet::Endpoint* endpoint : m_core.m_directory.All()) {
     if (const auto zone = open.find(endpoint->m_zone); zone != open.end()) {
-      zone->second += m_core.m_endpointBoard.OpenRequests(endpoint->m_incarnation);
+      zone->second += m_core.m_endpointTracker.OpenRequests(endpoint->m_incarnation);
     }
   }
   for (const auto& [zone, requests] : open) {
@@ -240,7 +240,7 @@
 peers::EndpointLoads RelayHost::LocalLoads() const
 {
   peers::EndpointLoads loads;
-  m_core.m_endpointBoard.ForEachWithOpenRequests(
+  m_core.m_endpointTracker.ForEachWithOpenRequests(
     [&](const std::string& aEndpoint, routing::Work aWork) {
       loads.push_back({ peers::TagOf(aEndpoint), static_cast<std::uint16_t>(aWork) });
     });
@@ -262,7 +262,7 @@
     // Several reloads are planned at once; one notice announces them together.
     m_loop.Post([this] {
       m_reloadNoticePending = false;
-      m_news.PushReloads();
+      m_peerExchange.PushReloads();
     });
   }
 }
@@ -280,7 +280,7 @@
   }
   telemetry::LogLine("stop").Add("outcome", "begun").Add("open", m_core.m_openExchanges);
   m_onStopped = std::move(aDone);
-  m_news.Leave();
+  m_peerExchange.Leave();
   m_stoppingSince = base::MonotonicNow();
   m_rollout.Stop();
   m_shutdownTimer = m_loop.Every(kShutdownCheckInterval, [this] { CheckShutdown(); });
@@ -302,7 +302,7 @@
   m_feeds.Stop();
   m_quarantine.Stop();
   m_isolationTimer.reset();
-  m_news.Stop();
+  m_peerExchange.Stop();
   m_stores.Stop();
   m_shutdownTimer->Cancel();
   m_onStopped();
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -210,7 +210,7 @@
 
 void StateFeeds::ForgetEndpoint(const std::string& aIncarnation)
 {
-  m_core.m_endpointBoard.Forget(aIncarnation);
+  m_core.m_endpointTracker.Forget(aIncarnation);
   m_core.m_coldStarts.Forget(aIncarnation);
 }
 
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -90,12 +90,12 @@
   {
     for (const auto& topic : m_feeds->Topics()) {
       if (topic->Topic() == aTopic) {
-        store::TopicUpdate news;
-        news.m_topic = aTopic;
-        news.m_from = aRecords.front().m_offset;
-        news.m_end = aRecords.back().m_offset + 1;
-        news.m_records = std::move(aRecords);
-        topic->OnUpdate(news, base::MonotonicNow());
+        store::TopicUpdate update;
+        update.m_topic = aTopic;
+        update.m_from = aRecords.front().m_offset;
+        update.m_end = aRecords.back().m_offset + 1;
+        update.m_records = std::move(aRecords);
+        topic->OnUpdate(update, base::MonotonicNow());
       }
     }
   }
@@ -141,10 +141,10 @@
   Append("endpoints", "e", "1 z1");
   StartFeeds();
   const std::string former = fleet::IncarnationOf("e", 1);
-  m_core.m_endpointBoard.OnSent(former, 3);
+  m_core.m_endpointTracker.OnSent(former, 3);
   m_core.m_coldStarts.OnColdTimeReported(former, 10s, true, base::MonotonicNow());
   DeliverFromPeer("endpoints", { { 1, "e", "2 z1", false } });
-  LONGS_EQUAL(0, m_core.m_endpointBoard.WorkOfOpenRequests(former));
+  LONGS_EQUAL(0, m_core.m_endpointTracker.WorkOfOpenRequests(former));
   CHECK_FALSE(m_core.m_coldStarts.IsCold(former, base::MonotonicNow()));
   POINTERS_EQUAL(nullptr, m_core.m_directory.Find(former));
   CHECK(m_core.m_directory.FindById("e") != nullptr);
--- a/src/ferrytray/relay/upkeep_duty.cpp
+++ b/src/ferrytray/relay/upkeep_duty.cpp
@@ -31,7 +31,7 @@
   // Planned again even if frees are pending: another host may have done them meanwhile.
   if (aNow >= m_plannedAt + kPlanInterval) {
     m_plannedAt = aNow;
-    m_pendingFrees = m_upkeep.Plan(m_core.m_stores, OldestWeights(m_core.m_directory), aNow);
+    m_pendingFrees = m_cleanup.Plan(m_core.m_stores, OldestWeights(m_core.m_directory), aNow);
   }
   return !m_pendingFrees.empty();
 }
@@ -39,7 +39,7 @@
 void UpkeepDuty::DoWork(base::TimePoint aNow)
 {
   for (const cache::FreeParts& parts : std::exchange(m_pendingFrees, {})) {
-    m_upkeep.OnFreeRequested(parts.m_store, aNow);
+    m_cleanup.OnFreeRequested(parts.m_store, aNow);
     m_freer.Free(parts, [this, parts](bool aDone) {
       const auto store = m_core.m_stores.find(parts.m_store);
       if (aDone && store != m_core.m_stores.end()) {
