--- a/src/ferrytray/peers/messages.cpp
+++ b/src/ferrytray/peers/messages.cpp
@@ -25,13 +25,13 @@
 /// The optional clock is written as a flag and a number: cereal's reader for std::optional needs
 /// C++17 headers that do not work with BoundedInputArchive.
 template<typename Archive>
-void serialize(Archive& aArchive, ContentsDelta& aDigest)
+void serialize(Archive& aArchive, ContentsDelta& aDelta)
 {
-  bool hasClock = aDigest.m_clockMillis.has_value();
-  std::int64_t clock = aDigest.m_clockMillis.value_or(0);
-  aArchive(aDigest.m_store, aDigest.m_epoch, aDigest.m_series, aDigest.m_next, aDigest.m_whole);
-  aArchive(aDigest.m_age, hasClock, clock, aDigest.m_changes);
-  aDigest.m_clockMillis = hasClock ? std::optional(clock) : std::nullopt;
+  bool hasClock = aDelta.m_clockMillis.has_value();
+  std::int64_t clock = aDelta.m_clockMillis.value_or(0);
+  aArchive(aDelta.m_store, aDelta.m_epoch, aDelta.m_series, aDelta.m_next, aDelta.m_whole);
+  aArchive(aDelta.m_age, hasClock, clock, aDelta.m_changes);
+  aDelta.m_clockMillis = hasClock ? std::optional(clock) : std::nullopt;
 }
 
 } // namespace ferrytray::cache
--- a/src/ferrytray/peers/messages_test.cpp
+++ b/src/ferrytray/peers/messages_test.cpp
@@ -43,10 +43,10 @@
   reply.m_readers.push_back({ "h", "z", "10.0.0.1:7", 3 });
   const auto readReply = peers::DecodeSyncReply(peers::Encode(reply));
   CHECK(readReply.has_value());
-  const cache::ContentsDelta& digest = readReply->m_stores.at(0);
-  CHECK(digest.m_whole && digest.m_age == 5ms && digest.m_clockMillis == 77);
-  LONGS_EQUAL(400, digest.m_changes.at(0).m_tokens);
-  STRCMP_EQUAL("p", digest.m_changes.at(0).m_part.m_id.c_str());
+  const cache::ContentsDelta& delta = readReply->m_stores.at(0);
+  CHECK(delta.m_whole && delta.m_age == 5ms && delta.m_clockMillis == 77);
+  LONGS_EQUAL(400, delta.m_changes.at(0).m_tokens);
+  STRCMP_EQUAL("p", delta.m_changes.at(0).m_part.m_id.c_str());
   CHECK_FALSE(readReply->m_stores.at(1).m_clockMillis.has_value());
   LONGS_EQUAL(7, readReply->m_loads.at(0).m_endpoint);
   LONGS_EQUAL(6, readReply->m_replaced.at(0).m_ageMillis);
--- a/src/ferrytray/peers/peer_exchange.cpp
+++ b/src/ferrytray/peers/peer_exchange.cpp
@@ -318,10 +318,10 @@
   }
   m_sourceIncarnation = reply->m_incarnation;
   ApplyTopicUpdates(reply->m_topics, aPending.m_sentAt);
-  for (const cache::ContentsDelta& digest : reply->m_stores) {
-    const auto known = m_stores.find(digest.m_store);
+  for (const cache::ContentsDelta& delta : reply->m_stores) {
+    const auto known = m_stores.find(delta.m_store);
     if (known != m_stores.end()) {
-      known->second.OnDelta(digest, aPending.m_sentAt, now);
+      known->second.OnDelta(delta, aPending.m_sentAt, now);
     }
   }
 }
@@ -378,8 +378,8 @@
     if (known == m_stores.end()) {
       continue;
     }
-    if (auto digest = known->second.DeltaSince(cursor, now)) {
-      reply.m_stores.push_back(std::move(*digest));
+    if (auto delta = known->second.DeltaSince(cursor, now)) {
+      reply.m_stores.push_back(std::move(*delta));
     }
   }
   aReply->Send(kOk, { { "Content-Type", "application/octet-stream" } }, Encode(reply));
--- a/src/ferrytray/peers/peer_exchange_test.cpp
+++ b/src/ferrytray/peers/peer_exchange_test.cpp
@@ -50,9 +50,9 @@
 TEST(PeerExchange, HostDoesNotRegisterAgainIfItsRecordExists)
 {
   CHECK(Until([&] { return m_reader->m_direct; }));
-  const auto enrolled = m_reader->m_log.m_topics["hosts"];
+  const auto records = m_reader->m_log.m_topics["hosts"];
   NewsHost again(m_loop, *m_client, "reader", 9);
-  store::Record own = enrolled.front();
+  store::Record own = records.front();
   // The restarted host listens on its former address.
   again.m_log.m_topics["hosts"] = { own };
   m_reader->m_news.Stop();
@@ -60,20 +60,20 @@
   m_reader.reset();
   peers::PeerExchangeOptions options = NewsHost::OptionsOf("reader", 9, "z", 1);
   options.m_listen = net::ParseAddress(address).value();
-  peers::PeerExchange rejoined(m_loop,
-                               *m_client,
-                               again.m_log,
-                               again.m_stores,
-                               again.m_others,
-                               again.m_reloads,
-                               again.m_crashes,
-                               options);
-  rejoined.SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
-  CHECK(rejoined.Start().has_value());
+  peers::PeerExchange restarted(m_loop,
+                                *m_client,
+                                again.m_log,
+                                again.m_stores,
+                                again.m_others,
+                                again.m_reloads,
+                                again.m_crashes,
+                                options);
+  restarted.SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
+  CHECK(restarted.Start().has_value());
   CHECK(Until([&] { return again.m_log.m_reads > 0; }));
   m_loop.RunFor(50ms);
   LONGS_EQUAL(1, again.m_log.m_topics["hosts"].size());
-  rejoined.Stop();
+  restarted.Stop();
 }
 
 // Guards against a load on the log that grows faster than the number of hosts when hundreds of them
--- a/src/ferrytray/peers/peer_notices.cpp
+++ b/src/ferrytray/peers/peer_notices.cpp
@@ -17,11 +17,11 @@
 
 void PeerExchange::ApplyReloads(const ReloadNotices& aNotices, base::TimePoint aNow)
 {
-  std::size_t taken = 0;
+  std::size_t accepted = 0;
   for (const ReloadNotice& notice : aNotices) {
-    taken += m_reloads.OnNotice(notice, aNow) ? 1 : 0;
+    accepted += m_reloads.OnNotice(notice, aNow) ? 1 : 0;
   }
-  if (taken > 0 && m_onReloads) {
+  if (accepted > 0 && m_onReloads) {
     m_onReloads();
   }
 }
@@ -76,11 +76,11 @@
 
 void PeerExchange::ApplyCrashes(const quarantine::CrashNotices& aNotices, base::TimePoint aNow)
 {
-  std::size_t taken = 0;
+  std::size_t accepted = 0;
   for (const quarantine::CrashNotice& notice : aNotices) {
-    taken += m_crashes.OnNotice(notice, aNow) ? 1 : 0;
+    accepted += m_crashes.OnNotice(notice, aNow) ? 1 : 0;
   }
-  if (taken > 0 && m_onCrashes) {
+  if (accepted > 0 && m_onCrashes) {
     m_onCrashes();
   }
 }
--- a/src/ferrytray/peers/peer_notices_test.cpp
+++ b/src/ferrytray/peers/peer_notices_test.cpp
@@ -29,7 +29,7 @@
   CHECK(Until([&] { return received == peers::KeyOf("e/1"); }));
 }
 
-TEST(PeerNotices, BrokenAttemptsAreCountedAcrossHosts)
+TEST(PeerNotices, CrashedEndpointsAreCountedAcrossHosts)
 {
   const base::TimePoint now = base::MonotonicNow();
   const quarantine::RequestKey request{ 1, 2 };
