--- a/include/ferrytray/relay/candidates.hpp
+++ b/include/ferrytray/relay/candidates.hpp
@@ -30,7 +30,8 @@
 /// @param aService null: the configuration does not declare the service
 /// @param aRequirements empty for requests without a prompt
 /// @param aExcluded incarnations that must not be selected
-/// @param aColdSource whether this host or the dispatcher selects a cold endpoint
+/// @param aColdSource who selects the endpoint: this host or the dispatcher; each has its own rate
+/// limit for cold endpoints
 /// @param aAssigned incarnation assigned by the dispatcher, accepted even if it is cold; may be
 /// empty
 [[nodiscard]] Candidates FindCandidates(RelayCore& aCore,
--- a/include/ferrytray/relay/exchange.hpp
+++ b/include/ferrytray/relay/exchange.hpp
@@ -77,8 +77,8 @@
   void AbortReply(std::string_view aWhy);
   void Finish(std::string_view aOutcome, std::string_view aWhy = "");
   [[nodiscard]] base::Duration Remaining() const;
-  /// Records in the crash board that the endpoint broke off during the request, unless it is
-  /// leaving.
+  /// Records a crash, since the endpoint broke the connection during the request. Does nothing if
+  /// the endpoint is leaving.
   void RecordCrash(const Attempt& aAttempt);
   void RecordSuccess();
   /// Answers without sending, because requests with the same key crashed the endpoints that ran
--- a/include/ferrytray/relay/prompt_dispatcher.hpp
+++ b/include/ferrytray/relay/prompt_dispatcher.hpp
@@ -16,8 +16,9 @@
 
 struct DispatchOptions
 {
-  /// Zones with fewer engines are not dispatched separately: if any zone has fewer, the engines of
-  /// all zones form one group. In a small group prompts wait while engines elsewhere are idle.
+  /// Each zone's engines form a group of their own only if every zone has at least this many;
+  /// otherwise the engines of all zones form one group. In a small group prompts wait while engines
+  /// elsewhere are idle.
   std::size_t m_minEnginesPerZone = 16;
   /// How long a host that did not answer is not asked again. Prompts go to their home engines
   /// meanwhile.
@@ -30,9 +31,9 @@
 /// An engine takes some hundred milliseconds to read a long prompt. Hosts learn of each other's
 /// load 0.3 to 0.6 s late, so with hundreds of hosts each would choose without knowing the others'
 /// choices. The dispatching host is the first by rank in the engines' availability zone. Every host
-/// computes the rank itself, without an election or a lease; hosts that disagree only make less
-/// informed choices. If the dispatching host does not answer in time, the prompt goes to its home
-/// engine.
+/// computes the rank itself, without an election or a lease. If hosts disagree on it,
+/// several of them assign prompts without knowing each other's choices. If the dispatching host
+/// does not answer in time, the prompt goes to its home engine.
 class PromptDispatcher
 {
 public:
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -13,8 +13,8 @@
 
 namespace ferrytray::relay {
 
-/// @brief Synchronizes the crash board with a keyed topic of the record log, so that hosts know the
-/// quarantined requests after a start, a lost connection or a crash of all hosts.
+/// @brief Synchronizes the crash tracker with a keyed topic of the record log, so that hosts know
+/// the quarantined requests after a start, a lost connection or a crash of all hosts.
 class QuarantineFeed
 {
 public:
@@ -31,12 +31,12 @@
   void OnLocalChange(const quarantine::RequestKey& aRequest);
   /// @brief This host hears from no other host: reads the record log at once.
   void OnIsolated() { m_topic->RestartRead(); }
-  /// @brief The crash board has changed.
+  /// @brief The crash tracker has changed: logs the changes and writes the records that are due.
   void OnTrackerChanged();
   /// @brief Records that the quarantined request is sent once as a probe.
   /// @param aDone called once, with whether this host may send it
   void ClaimProbe(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
-  /// @brief Sets the function that decides which hosts record what other hosts saw.
+  /// @brief Sets the function that returns this host's role in writing a request's record.
   void SetRoleFunction(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
   {
     m_roleOf = std::move(aCall);
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -101,11 +101,11 @@
   /// Called when another endpoint answered at the incarnation's address. May be unset.
   std::function<void(const std::string& aIncarnation)> m_onEndpointReplaced;
   quarantine::CrashTracker m_crashes; ///< requests that crash the endpoints that run them
-  /// Whether the crash board holds the record log's contents. Nothing is sent to endpoints before
-  /// that: hosts that restart one after the other, or all at once, would each try such requests
-  /// again.
+  /// Whether the crash tracker holds the quarantine records of the record log. Nothing is sent to
+  /// endpoints before that: hosts that restart one after the other, or all at once, would each send
+  /// quarantined requests again.
   bool m_crashesLoaded = false;
-  /// Called when this host changed the crash board. May be unset.
+  /// Called when this host changed the crash tracker. May be unset.
   std::function<void(const quarantine::RequestKey&)> m_onCrashesChanged;
   /// Asks whether this host may send a quarantined request as a probe; the callback is called once.
   /// If unset: no probes.
--- a/include/ferrytray/relay/relay_host.hpp
+++ b/include/ferrytray/relay/relay_host.hpp
@@ -27,15 +27,16 @@
   RelayOptions m_relay;
   FeedOptions m_feeds;
   rollout::RolloutOptions m_rollout;
-  /// A load balancer with one health check per second and a threshold of two failures keeps sending
-  /// for this long.
+  /// Minimum time from the start of the shutdown to the exit. A load balancer with one health check
+  /// per second and a threshold of two failures keeps sending for this long.
   base::Duration m_minDrainTime = std::chrono::milliseconds(3000);
-  /// From then on new requests are refused at once and idle connections are closed, so that
-  /// requests in progress can finish. Must be later than a load balancer takes to notice, and no
-  /// later than 3 s: from then on the users' platform counts every request that a stopping host
-  /// begins and does not finish as a failure.
+  /// From this time after the start of the shutdown new requests are refused at once and idle
+  /// connections are closed, so that requests in progress can finish. Must be later than a load
+  /// balancer takes to notice, and no later than 3 s: from then on the users' platform counts every
+  /// request that a stopping host begins and does not finish as a failure.
   base::Duration m_refuseNewAfter = std::chrono::milliseconds(2900);
-  /// Requests still open then are aborted, before the platform kills the process.
+  /// Requests still open this long after the start of the shutdown are aborted, before the platform
+  /// kills the process.
   base::Duration m_maxDrainTime = std::chrono::milliseconds(7500);
 };
 
@@ -73,10 +74,10 @@
   void AnswerReadiness(const std::shared_ptr<net::HttpReply>& aReply) const;
   void CheckShutdown();
   void StartQuarantine();
-  /// Called when the record log has returned the configuration but not the quarantine records in
-  /// time.
+  /// Called some time after the configuration was read; serves requests without the quarantine
+  /// records if these have not been read by then.
   void ServeWithoutQuarantine();
-  /// Schedules a notice to other hosts about this host's changes to the crash board.
+  /// Schedules a notice to other hosts about this host's changes to the crash tracker.
   void OnCrashesChanged(const quarantine::RequestKey& aRequest);
 
   net::Loop& m_loop;
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -127,10 +127,10 @@
   CHECK_FALSE(m_core.m_crashes.IsQuarantined(key));
 }
 
-// After a crash of all hosts, a harmless request stayed quarantined on every host. It is frequent,
-// so it was sent to endpoints that other requests had crashed before and whose addresses closed
-// each connection at once. Its single probe also went to such an endpoint and broke off within 2
-// ms. Observed in the host logs of a run with real processes.
+// After a crash of all hosts, a harmless request stayed quarantined on every host. Callers sent
+// it often, so it reached endpoints that other requests had crashed before and whose addresses
+// closed each connection at once. Its single probe also went to such an endpoint and broke off
+// within 2 ms. Observed in the host logs of a run with real processes.
 TEST(ExchangeQuarantine, BrokenSendToCrashedEndpointIsNotAttributedToRequest)
 {
   const base::TimePoint before = base::MonotonicNow() - 1s;
--- a/src/ferrytray/relay/feed_options.cpp
+++ b/src/ferrytray/relay/feed_options.cpp
@@ -22,9 +22,9 @@
 
 // A configuration must be in force within the bound even if the log never answers one read. Such a
 // read costs the wait and the grace time, 55 % of the bound; the rest is for the next read and for
-// hosts that ask this one. This takes four reads of the topic per bound at each reading host: with
-// a bound of 2 s and eight hosts, 1.6 times the log calls of a 44 s day, which costs 0.005 of that
-// day's worth.
+// hosts that ask this one. This takes four reads of the topic per bound at each reading host. With
+// a bound of 2 s and eight hosts, the log calls of a 44 s day grow by a factor of 1.6, which costs
+// 0.005 of that day's worth.
 constexpr int kOperatorWaitPercent = 25;
 constexpr int kOperatorGracePercent = 30;
 
--- a/src/ferrytray/relay/quarantine_feed.cpp
+++ b/src/ferrytray/relay/quarantine_feed.cpp
@@ -124,9 +124,9 @@
     peers::Encode(*known),
     [this, aRequest, done = std::move(aDone)](const base::Result<store::AppendResult>& aResult) {
       m_pendingClaims.erase(aRequest);
-      // The topic may return this record before the append is acknowledged, so a set m_tried flag
-      // does not mean that another host probed. Only the first host by rank claims, or two if hosts
-      // disagree.
+      // The topic may return this record before the append is acknowledged, so a set
+      // m_probed flag does not mean that another host probed. Only the first host in the hash order
+      // claims, or two if hosts disagree on it.
       const bool granted = aResult && m_core.m_crashes.IsQuarantined(aRequest) && !m_stopped;
       if (granted) {
         m_core.m_crashes.OnProbeStarted(aRequest, base::MonotonicNow());
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -27,8 +27,8 @@
 // A crashing endpoint breaks off many requests at once; their notices are sent together.
 constexpr base::Duration kCrashNoticeDelay = std::chrono::milliseconds(20);
 
-// Time after the configuration was read. If the record log returns the configuration but not the
-// quarantine records, the host serves without them.
+// How long after reading the configuration a host waits for the quarantine records. If the record
+// log does not return them, the host serves without them.
 constexpr base::Duration kQuarantineLoadTimeout = std::chrono::milliseconds(1500);
 
 constexpr base::Duration kShutdownCheckInterval = std::chrono::milliseconds(50);
--- a/src/ferrytray/relay/state_feeds.cpp
+++ b/src/ferrytray/relay/state_feeds.cpp
@@ -195,8 +195,8 @@
     return;
   }
   desired = read->m_version;
-  // A starting host does not know when the version was named. It assumes a time long ago, plus the
-  // grace time of a host that has just started.
+  // A starting host does not know when the version was named. It assumes that it was long ago:
+  // older versions are excluded as soon as the startup grace time is over.
   const base::TimePoint now = base::MonotonicNow();
   m_core.m_namedWeights.OnNamed(
     read->m_model,
