--- a/include/ferrytray/peers/peer_exchange.hpp
+++ b/include/ferrytray/peers/peer_exchange.hpp
@@ -84,21 +84,23 @@
   void Stop();
   /// @brief Sends the reload notices to the other readers now instead of with the next poll.
   void PushReloads();
-  /// @brief Sends new notices of the crash board now instead of with the next poll.
+  /// @brief Sends new notices of the crash tracker now instead of with the next poll.
   void PushCrashes();
-  /// @brief Calls when another host sent crash notices that the crash board did not have.
+  /// @brief Sets the function that is called when another host sent crash notices that were new.
   void OnCrashes(std::function<void()> aCall) { m_onCrashes = std::move(aCall); }
   /// @brief Reports that another endpoint answered at this incarnation's address; sent to other
   /// hosts with the next polls.
   void ReportReplaced(std::string_view aIncarnation);
-  /// @brief Calls with each incarnation that another host found to be replaced.
+  /// @brief Sets the function that is called for each incarnation that another host found to be
+  /// replaced.
   void OnReplaced(std::function<void(IncarnationKey)> aCall) { m_onReplaced = std::move(aCall); }
-  /// @brief Calls when this host starts or stops to read from the stores itself.
+  /// @brief Sets the function that is called when this host starts or stops to read from the stores
+  /// itself.
   void OnReaderChange(std::function<void(bool aIsReader)> aCall)
   {
     m_onReaderChange = std::move(aCall);
   }
-  /// @brief Calls when another host sent reload notices that were new.
+  /// @brief Sets the function that is called when another host sent reload notices that were new.
   void OnReloads(std::function<void()> aCall) { m_onReloads = std::move(aCall); }
   /// @brief Relays this topic to other hosts and takes it from them; starts to read it from the log
   /// if no other host relays it. Call before Start().
@@ -106,7 +108,7 @@
   {
     m_topics.push_back(std::move(aTopic));
   }
-  /// @brief Answers placement requests of other hosts.
+  /// @brief Sets the function that answers placement requests of other hosts.
   void OnPlacement(std::function<PlacementReply(const PlacementRequest&)> aCall)
   {
     m_onPlacement = std::move(aCall);
@@ -146,7 +148,8 @@
   struct PendingRequest
   {
     base::TimePoint m_sentAt;
-    quarantine::NoticeOffset m_crashesSentUpTo = 0; ///< the request has all before this number
+    /// Offset after the last crash notice that the request carries.
+    quarantine::NoticeOffset m_crashesSentUpTo = 0;
   };
   /// Per message; the rest is sent with the next one.
   static constexpr std::size_t kMaxCrashNotices = 512;
@@ -234,8 +237,9 @@
   bool m_isReader = false;
   bool m_leaving = false;
   bool m_stopped = false;
-  bool m_registered = false;         ///< in this process
-  bool m_hostsKnown = false;         ///< the hosts are known, so that polling can begin
+  bool m_registered = false; ///< in this process
+  /// Polling can begin: the hosts are known, and this host is registered unless the log failed.
+  bool m_hostsKnown = false;
   base::TimePoint m_startTopicsAt{}; ///< earliest time to read unrelayed topics from the log
   net::TimerHandle m_tick;
   net::TimerHandle m_hostsTimer;
--- a/include/ferrytray/peers/roster.hpp
+++ b/include/ferrytray/peers/roster.hpp
@@ -25,8 +25,9 @@
 
 struct RosterOptions
 {
-  /// Hosts that read from each KV store. At the users' sites a store serves 12 readers at once; the
-  /// difference is left for hosts that take over and for readers that were just replaced.
+  /// Maximum number of readers, over all zones. Each of them reads from every KV store. At the
+  /// users' sites a store serves 12 readers at once; the difference is left for hosts that take
+  /// over and for readers that were just replaced.
   std::size_t m_readers = 8;
   /// Backoff after the first failed request to a peer; doubles with each further one.
   base::Duration m_backoffMin = std::chrono::milliseconds(1000);
@@ -35,9 +36,9 @@
 
 /// @brief The known hosts, and which of them read for others. Does no I/O.
 ///
-/// The hosts of each zone with most capacity read the KV stores and the record log for all others
-/// there, so that the load on these does not grow with the number of hosts. Every host determines
-/// them by the same rule.
+/// In each zone, the hosts with the highest capacity read the KV stores and the record log for all
+/// others there, so that the load on these does not grow with the number of hosts. Every host
+/// determines them by the same rule.
 class Roster
 {
 public:
