--- a/include/ferrytray/relay/exchange.hpp
+++ b/include/ferrytray/relay/exchange.hpp
@@ -77,8 +77,8 @@
   void AbortReply(std::string_view aWhy);
   void Finish(std::string_view aOutcome, std::string_view aWhy = "");
   [[nodiscard]] base::Duration Remaining() const;
-  /// Records in the crash board that the endpoint broke off during the request, unless it is
-  /// leaving.
+  /// Records a crash, since the endpoint broke the connection during the request. Does nothing if
+  /// the endpoint is leaving.
   void RecordCrash(const Attempt& aAttempt);
   void RecordSuccess();
   /// Answers without sending, because requests with the same key crashed the endpoints that ran
@@ -119,7 +119,8 @@
   std::string m_lastEndpoint;
   routing::Work m_lastOpenWork = 0; ///< of the last send, for the log
   bool m_lastAtHome = true;
-  std::array<std::uint64_t, cache::kPartOutcomes> m_lastTokensByFate{}; ///< by cache::PartOutcome
+  std::array<std::uint64_t, cache::kPartOutcomes>
+    m_lastTokensByOutcome{};                     ///< by cache::PartOutcome
   std::optional<base::TimePoint> m_firstEventAt; ///< when the reply's first event was forwarded
   bool m_isProbe = false;                        ///< sent once although the request is quarantined
   bool m_done = false;
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -13,8 +13,8 @@
 
 namespace ferrytray::relay {
 
-/// @brief Synchronizes the crash board with a keyed topic of the record log, so that hosts know the
-/// quarantined requests after a start, a lost connection or a crash of all hosts.
+/// @brief Synchronizes the crash tracker with a keyed topic of the record log, so that hosts know
+/// the quarantined requests after a start, a lost connection or a crash of all hosts.
 class QuarantineFeed
 {
 public:
@@ -31,15 +31,15 @@
   void OnLocalChange(const quarantine::RequestKey& aRequest);
   /// @brief This host hears from no other host: reads the record log at once.
   void OnIsolated() { m_topic->RestartRead(); }
-  /// @brief The crash board has changed.
-  void OnBoardChanged();
+  /// @brief The crash tracker has changed: logs the changes and writes the records that are due.
+  void OnTrackerChanged();
   /// @brief Records that the quarantined request is sent once as a probe.
   /// @param aDone called once, with whether this host may send it
   void ClaimProbe(const quarantine::RequestKey& aRequest, std::function<void(bool)> aDone);
-  /// @brief Sets the function that decides which hosts record what other hosts saw.
-  void SetRankFunction(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
+  /// @brief Sets the function that returns this host's role in writing a request's record.
+  void SetRoleFunction(std::function<quarantine::WriterRole(const quarantine::RequestKey&)> aCall)
   {
-    m_rankOf = std::move(aCall);
+    m_roleOf = std::move(aCall);
   }
 
 private:
@@ -51,8 +51,8 @@
   RelayCore& m_core;
   store::RecordLog& m_log;
   std::string m_topicName;
-  quarantine::RecordReconciler m_keeper;
-  std::function<quarantine::WriterRole(const quarantine::RequestKey&)> m_rankOf;
+  quarantine::RecordReconciler m_reconciler;
+  std::function<quarantine::WriterRole(const quarantine::RequestKey&)> m_roleOf;
   std::shared_ptr<store::TopicFollower> m_topic;
   std::set<quarantine::RequestKey> m_pendingClaims;
   std::set<quarantine::RequestKey> m_loggedRequests; ///< quarantined requests as last logged
