--- a/include/ferrytray/gate/cache_watch.hpp
+++ b/include/ferrytray/gate/cache_event_poller.hpp
@@ -8,10 +8,10 @@
 namespace ferrytray::gate {
 
 /// @brief Follows the cache events of this zone's engines and lists an engine afresh after a gap.
-class CacheWatch
+class CacheEventPoller
 {
 public:
-  explicit CacheWatch(GateCore& aCore)
+  explicit CacheEventPoller(GateCore& aCore)
     : m_core(aCore)
   {
   }
@@ -21,10 +21,10 @@
 private:
   void Poll();
   void PollEvents(const std::string& aWorker, const std::string& aAddress);
-  void List(const std::string& aWorker, const std::string& aAddress);
+  void FetchBlockList(const std::string& aWorker, const std::string& aAddress);
 
   GateCore& m_core;
-  std::set<std::string> m_busy;
+  std::set<std::string> m_inFlight;
   net::TimerHandle m_timer;
 };
 
--- a/include/ferrytray/gate/caller_request.hpp
+++ b/include/ferrytray/gate/caller_request.hpp
@@ -13,16 +13,16 @@
 namespace ferrytray::gate {
 
 /// @brief Which shape the caller speaks.
-enum class AnswerShape : std::uint8_t
+enum class CompletionKind : std::uint8_t
 {
   Completion,
   Chat,
 };
 
 /// @brief What a caller's headers ask for, whatever the path.
-struct CallerTerms
+struct RequestOptions
 {
-  std::string m_key; ///< bearer key
+  std::string m_apiKey; ///< bearer key
   std::optional<std::string> m_idempotencyKey;
   std::optional<std::string> m_ticket;
   std::optional<bool> m_idempotent;         ///< from Ferrytray-Idempotent
@@ -33,7 +33,7 @@
 /// @brief A request for a model, read from its JSON body.
 struct ModelRequest
 {
-  AnswerShape m_shape = AnswerShape::Completion;
+  CompletionKind m_kind = CompletionKind::Completion;
   std::string m_model;
   std::string m_prompt;
   std::uint32_t m_maxTokens = 16;
@@ -42,11 +42,11 @@
 };
 
 /// @brief Reads the headers. @return MissingKey or InvalidField
-base::Result<CallerTerms> ReadTerms(const net::HttpRequest& aRequest);
+base::Result<RequestOptions> ParseRequestOptions(const net::HttpRequest& aRequest);
 
 /// @brief Reads the body of a completion or chat completion.
 /// @return MalformedJson, MissingField or InvalidField
-base::Result<ModelRequest> ReadModelRequest(AnswerShape aShape, const std::string& aBody);
+base::Result<ModelRequest> ParseModelRequest(CompletionKind aKind, const std::string& aBody);
 
 /// @brief The content of a request as one digest, to notice a key used for another request.
 base::Digest128 ContentDigest(const net::HttpRequest& aRequest);
--- a/include/ferrytray/gate/exporter.hpp
+++ b/include/ferrytray/gate/context_exporter.hpp
@@ -14,8 +14,8 @@
 {
   std::string m_request;
   std::string m_account;
-  std::string m_engine; ///< IP:PORT
-  StoreFound m_store;   ///< what its home store had before the run
+  std::string m_engine;      ///< IP:PORT
+  StoreLookupResult m_store; ///< what its home store had before the run
   std::vector<base::Digest128> m_blocks;
   double m_bytes = 0;            ///< that would be moved
   double m_recomputeSeconds = 0; ///< that keeping it can save
@@ -23,38 +23,40 @@
 
 /// @brief Decides which contexts are kept, and moves them to their stores one at a time, a few
 /// blocks at a time, while no import waits for the store's link.
-class Exporter
+class ContextExporter
 {
 public:
-  explicit Exporter(GateCore& aCore)
+  explicit ContextExporter(GateCore& aCore)
     : m_core(aCore)
   {
   }
 
   /// @brief Keeps the context if that is worth it.
-  void Consider(ExportJob aJob);
+  void ExportIfWorthwhile(ExportJob aJob);
 
 private:
-  struct Job
+  struct PendingExport
   {
     ExportJob m_job;
-    double m_worth = 0;
-    std::size_t m_moved = 0; ///< blocks that are kept already
+    double m_value = 0;
+    std::size_t m_exportedBlocks = 0; ///< blocks that are kept already
   };
 
-  void Push(Job aJob);
+  void Enqueue(PendingExport aJob);
   void StartNext(const std::string& aStore);
-  void AskStore(const Job& aJob);
-  void OnStore(Job aJob, const StoreFound& aFound);
-  void MoveChunk(const Job& aJob);
-  void Commit(const Job& aJob, const std::string& aUpload, const std::string& aManifestReply);
-  void Finish(Job aJob, bool aKept);
-  void WaitForLink(const Job& aJob);
+  void CheckStore(const PendingExport& aJob);
+  void OnStoreChecked(PendingExport aJob, const StoreLookupResult& aFound);
+  void ExportChunk(const PendingExport& aJob);
+  void Commit(const PendingExport& aJob,
+              const std::string& aUpload,
+              const std::string& aManifestReply);
+  void Finish(PendingExport aJob, bool aExported);
+  void WaitForLink(const PendingExport& aJob);
 
   GateCore& m_core;
-  std::map<std::string, std::deque<Job>> m_waiting;
+  std::map<std::string, std::deque<PendingExport>> m_queued;
   std::map<std::string, bool> m_busy;
-  std::map<std::string, net::TimerHandle> m_pauses;
+  std::map<std::string, net::TimerHandle> m_retryTimers;
 };
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/context_restore.hpp
+++ b/include/ferrytray/gate/context_restore.hpp
@@ -12,7 +12,7 @@
 namespace ferrytray::gate {
 
 /// @brief What a store has of a prompt.
-struct StoreFound
+struct StoreLookupResult
 {
   std::string m_store;                      ///< name
   std::string m_address;                    ///< IP:PORT; empty when no store answered
@@ -25,13 +25,13 @@
 /// @param aDone called once, within the lookup timeout
 void LookupStores(GateCore& aCore,
                   const std::vector<base::Digest128>& aBlocks,
-                  std::function<void(const StoreFound&)> aDone);
+                  std::function<void(const StoreLookupResult&)> aDone);
 
 /// @brief An import into an engine.
 struct ImportRequest
 {
   std::string m_engine; ///< IP:PORT
-  StoreFound m_found;
+  StoreLookupResult m_storeLookup;
   std::vector<base::Digest128> m_blocks; ///< the prompt's
   std::uint32_t m_skip = 0;              ///< blocks that the engine has already
   std::uint32_t m_count = 0;             ///< blocks to import after those
--- a/include/ferrytray/gate/context_log.hpp
+++ b/include/ferrytray/gate/context_tracker.hpp
@@ -13,10 +13,10 @@
 namespace ferrytray::gate {
 
 /// @brief When contexts were last seen here, and what that says of each account's return gaps.
-class ContextLog
+class ContextTracker
 {
 public:
-  explicit ContextLog(std::size_t aCapacity)
+  explicit ContextTracker(std::size_t aCapacity)
     : m_capacity(aCapacity)
   {
   }
@@ -32,16 +32,16 @@
   }
 
 private:
-  struct Seen
+  struct Entry
   {
     base::Digest128 m_context;
     std::string m_account;
-    base::TimePoint m_at;
+    base::TimePoint m_lastSeen;
   };
 
   std::size_t m_capacity;
-  std::list<Seen> m_recent;
-  std::unordered_map<base::Digest128, std::list<Seen>::iterator, base::DigestHash> m_byContext;
+  std::list<Entry> m_recent;
+  std::unordered_map<base::Digest128, std::list<Entry>::iterator, base::DigestHash> m_byContext;
   std::map<std::string, routing::ReturnGaps> m_gaps;
 };
 
--- a/include/ferrytray/gate/engine_attempt.hpp
+++ b/include/ferrytray/gate/engine_attempt.hpp
@@ -5,16 +5,16 @@
 #include <string>     // for string
 #include <variant>    // for variant
 
-#include "ferrytray/gate/engine_stream.hpp"    // for EngineStream
-#include "ferrytray/gate/gate_core.hpp"        // for GateCore
-#include "ferrytray/once/stream_assembler.hpp" // for StreamAssembler
+#include "ferrytray/gate/engine_event_parser.hpp" // for EngineStream
+#include "ferrytray/gate/gate_core.hpp"           // for GateCore
+#include "ferrytray/once/stream_assembler.hpp"    // for StreamAssembler
 
 namespace ferrytray::gate {
 
 /// @brief The whole answer was delivered.
 struct AttemptComplete
 {
-  Usage m_usage;
+  TokenUsage m_usage;
 };
 /// @brief The engine certainly started nothing.
 struct AttemptNotStarted
@@ -23,18 +23,18 @@
   bool m_leaving = false;
 };
 /// @brief The engine answered with another weight version; nothing was delivered.
-struct AttemptWrongVersion
+struct AttemptVersionMismatch
 {
 };
 /// @brief It may have run, and the rest of its answer cannot be had.
-struct AttemptBroken
+struct AttemptInterrupted
 {
   std::string m_message;
-  bool m_closed = false; ///< the engine closed the connection, and could not go on
+  bool m_connectionClosed = false; ///< the engine closed the connection, and could not go on
 };
 
-using AttemptEnd =
-  std::variant<AttemptComplete, AttemptNotStarted, AttemptWrongVersion, AttemptBroken>;
+using AttemptResult =
+  std::variant<AttemptComplete, AttemptNotStarted, AttemptVersionMismatch, AttemptInterrupted>;
 
 /// @brief What one attempt needs.
 struct AttemptRequest
@@ -53,7 +53,7 @@
   struct Handlers
   {
     std::function<void(const std::string& aText)> m_onText;
-    std::function<void(const AttemptEnd&)> m_onEnd;
+    std::function<void(const AttemptResult&)> m_onEnd;
   };
 
   EngineAttempt(GateCore& aCore, AttemptRequest aRequest, Handlers aHandlers);
@@ -64,23 +64,23 @@
 private:
   void Send(net::ClientRequest aRequest);
   void OnBytes(std::string_view aBytes);
-  void OnEvent(const EnginePiece& aPiece);
-  void OnEvent(const EngineRefusal& aRefusal);
-  void OnWireEnd(const net::ClientOutcome& aOutcome);
+  void OnEvent(const EngineChunk& aChunk);
+  void OnEvent(const EngineError& aError);
+  void OnTransferEnd(const net::ClientOutcome& aOutcome);
   void Resume();
-  void End(const AttemptEnd& aEnd);
+  void End(const AttemptResult& aResult);
 
   GateCore& m_core;
   AttemptRequest m_request;
   Handlers m_handlers;
-  EngineStream m_stream;
+  EngineEventParser m_parser;
   once::StreamAssembler m_assembler;
-  Usage m_usage;
+  TokenUsage m_usage;
   std::string m_errorBody;
   net::CallId m_call = 0;
   net::TimerHandle m_resumeTimer;
   int m_status = 0;
-  int m_resumes = 0;
+  int m_resumeCount = 0;
   bool m_versionChecked = false;
   bool m_ended = false;
 };
--- a/include/ferrytray/gate/engine_stream.hpp
+++ b/include/ferrytray/gate/engine_event_parser.hpp
@@ -7,43 +7,43 @@
 #include <variant>     // for variant
 #include <vector>      // for vector
 
-#include "ferrytray/gate/answer_format.hpp" // for Usage
+#include "ferrytray/gate/response_format.hpp" // for Usage
 
 namespace ferrytray::gate {
 
 /// @brief A piece of an engine's answer.
-struct EnginePiece
+struct EngineChunk
 {
   std::string m_text;
   std::uint64_t m_offset = 0;
   std::string m_version;
   bool m_last = false;
-  Usage m_usage; ///< with the last piece only
+  TokenUsage m_usage; ///< with the last piece only
 };
 
 /// @brief The engine ended the attempt itself.
-struct EngineRefusal
+struct EngineError
 {
   std::string m_message;
   bool m_started = true;
 };
 
-using EngineEvent = std::variant<EnginePiece, EngineRefusal>;
+using EngineEvent = std::variant<EngineChunk, EngineError>;
 
 /// @brief Cuts an engine's server-sent events apart; bytes may come in any pieces.
-class EngineStream
+class EngineEventParser
 {
 public:
   /// @return the events that are whole now; one that is not JSON is dropped and counted
   std::vector<EngineEvent> Feed(std::string_view aBytes);
-  [[nodiscard]] std::uint64_t Malformed() const { return m_malformed; }
+  [[nodiscard]] std::uint64_t MalformedEvents() const { return m_malformedEvents; }
 
 private:
-  std::string m_rest;
-  std::uint64_t m_malformed = 0;
+  std::string m_buffer;
+  std::uint64_t m_malformedEvents = 0;
 };
 
 /// @brief Reads the body of an engine's refusal.
-EngineRefusal ReadRefusal(const std::string& aBody);
+EngineError ParseEngineError(const std::string& aBody);
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/fleet_queues.hpp
+++ b/include/ferrytray/gate/fleet_queues.hpp
@@ -22,17 +22,17 @@
   /// @brief Starts the pump.
   void Start();
   /// @brief Whether a request has to wait here.
-  [[nodiscard]] bool MustHold(const std::string& aFleet) const;
+  [[nodiscard]] bool MustQueue(const std::string& aFleet) const;
   /// @brief Holds a request. @return its number, or 0 when the queue is full
-  std::uint64_t Hold(const std::string& aFleet,
-                     const std::string& aAccount,
-                     double aWeight,
-                     double aEngineSeconds,
-                     std::function<void()> aResume);
+  std::uint64_t Enqueue(const std::string& aFleet,
+                        const std::string& aAccount,
+                        double aWeight,
+                        double aEngineSeconds,
+                        std::function<void()> aResume);
   /// @brief The request is not wanted any more.
-  void Drop(const std::string& aFleet, std::uint64_t aNumber);
+  void Dequeue(const std::string& aFleet, std::uint64_t aId);
   /// @brief Expected time until what is held now has gone to engines.
-  [[nodiscard]] base::Duration ExpectedDrain(const std::string& aFleet, std::size_t aWorkers) const;
+  [[nodiscard]] base::Duration ExpectedWait(const std::string& aFleet, std::size_t aWorkers) const;
 
 private:
   struct Queue
@@ -45,12 +45,12 @@
     std::map<std::uint64_t, std::function<void()>> m_resume;
   };
 
-  void Pump();
-  void PumpFleet(const std::string& aFleet, Queue& aQueue);
+  void Dispatch();
+  void DispatchFleet(const std::string& aFleet, Queue& aQueue);
 
   GateCore& m_core;
   std::map<std::string, Queue> m_queues;
-  std::uint64_t m_numbers = 0;
+  std::uint64_t m_lastId = 0;
   net::TimerHandle m_timer;
 };
 
--- a/include/ferrytray/gate/fleet_view.hpp
+++ b/include/ferrytray/gate/fleet_view.hpp
@@ -27,7 +27,7 @@
   /// @brief Work was sent to a worker; it is not in the reports yet.
   void OnSent(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
   /// @brief Work that was sent has been done, whatever the reports say yet.
-  void OnAnswered(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
+  void OnWorkDone(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
   /// @brief The endpoint refused or broke; it is passed over for a moment.
   void OnFailure(const std::string& aEndpoint, base::TimePoint aNow);
   /// @brief The endpoint said itself that it leaves.
@@ -53,24 +53,24 @@
   [[nodiscard]] std::vector<const wire::EndpointStatus*> HomeStores(
     const base::Digest128& aContext) const;
   /// @brief The shortest queue among a fleet's usable workers.
-  [[nodiscard]] std::optional<base::Duration> ShortestQueue(const std::string& aFleet,
-                                                            base::TimePoint aNow) const;
+  [[nodiscard]] std::optional<base::Duration> ShortestQueueWait(const std::string& aFleet,
+                                                                base::TimePoint aNow) const;
 
   void BeginService(const std::string& aEndpoint) { ++m_openCalls[aEndpoint]; }
   void EndService(const std::string& aEndpoint);
   [[nodiscard]] const control::LeavingSet& Leaving() const { return m_leaving; }
   [[nodiscard]] const std::vector<wire::EndpointStatus>& Endpoints() const { return m_endpoints; }
   routing::CacheHints& Hints() { return m_hints; }
-  [[nodiscard]] bool Known() const { return m_known; }
+  [[nodiscard]] bool Ready() const { return m_ready; }
 
 private:
-  struct Sent
+  struct SentWork
   {
     base::TimePoint m_at;
     base::Duration m_engineTime;
   };
 
-  struct Answered
+  struct CompletedWork
   {
     base::TimePoint m_sentAt;
     base::TimePoint m_at;
@@ -79,19 +79,19 @@
 
   [[nodiscard]] routing::WorkerView ViewOf(const wire::EndpointStatus& aEndpoint,
                                            base::TimePoint aNow) const;
-  [[nodiscard]] bool Usable(const wire::EndpointStatus& aEndpoint, base::TimePoint aNow) const;
+  [[nodiscard]] bool IsUsable(const wire::EndpointStatus& aEndpoint, base::TimePoint aNow) const;
 
   std::string m_zone;
   std::vector<wire::EndpointStatus> m_endpoints;
-  base::TimePoint m_updated{};
-  std::map<std::string, std::deque<Sent>> m_sent;
-  std::map<std::string, std::deque<Answered>> m_answered;
-  std::map<std::string, base::TimePoint> m_failedUntil;
+  base::TimePoint m_updatedAt{};
+  std::map<std::string, std::deque<SentWork>> m_sentWork;
+  std::map<std::string, std::deque<CompletedWork>> m_completedWork;
+  std::map<std::string, base::TimePoint> m_cooldownUntil;
   std::map<std::string, int> m_openCalls;
-  std::map<std::string, std::string> m_runVersions;
+  std::map<std::string, std::string> m_runningVersions;
   control::LeavingSet m_leaving;
   routing::CacheHints m_hints;
-  bool m_known = false;
+  bool m_ready = false;
 };
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/keeper_link.hpp
+++ b/include/ferrytray/gate/keeper_connection.hpp
@@ -16,7 +16,7 @@
 namespace ferrytray::gate {
 
 /// @brief The gate's line to its keeper. What came last stays in use while the keeper is away.
-class KeeperLink
+class KeeperConnection
 {
 public:
   struct Handlers
@@ -27,7 +27,7 @@
     std::function<wire::GateReport()> m_makeReport;
   };
 
-  KeeperLink(net::Loop& aLoop, const GateOptions& aOptions, Handlers aHandlers);
+  KeeperConnection(net::Loop& aLoop, const GateOptions& aOptions, Handlers aHandlers);
   void Start();
   /// @brief Sends a report now instead of with the next round.
   void ReportNow();
@@ -37,7 +37,7 @@
   [[nodiscard]] std::uint64_t Position() const { return m_position; }
   [[nodiscard]] const std::vector<membership::Member>& Members() const { return m_members; }
   /// @brief The live member at which a gate incarnation's tickets are, or null.
-  [[nodiscard]] const membership::Member* TicketHome(const std::string& aIncarnation) const;
+  [[nodiscard]] const membership::Member* FindTicketHolder(const std::string& aIncarnation) const;
   /// @brief What the log says of a rule's hand-overs; empty until the keeper has told.
   [[nodiscard]] std::optional<wire::HalfEpochs> Epochs(const std::string& aRule) const;
   [[nodiscard]] bool Connected() const { return m_channel != nullptr; }
@@ -47,7 +47,7 @@
 
 private:
   void Connect();
-  void AskAge();
+  void RequestConfigAge();
   void OnFrame(std::string_view aBytes);
   void Handle(const wire::StateUpdate& aUpdate);
   void Handle(const wire::EndpointUpdate& aUpdate);
@@ -67,15 +67,15 @@
   replay::Registry m_registry;
   std::map<std::string, std::uint64_t> m_accepted;
   std::uint64_t m_position = 0;
-  std::uint64_t m_asked = 0;                ///< number of the newest question of age
-  std::deque<base::TimePoint> m_askedAt;    ///< of the newest ones, the last one first
-  std::optional<base::TimePoint> m_heardAt; ///< what the log had taken by then is known
+  std::uint64_t m_lastQuestion = 0;               ///< number of the newest question of age
+  std::deque<base::TimePoint> m_questionSentAt;   ///< of the newest ones, the last one first
+  std::optional<base::TimePoint> m_configKnownAt; ///< what the log had taken by then is known
   bool m_hasConfig = false;
-  bool m_halvesKnown = false;
+  bool m_epochsKnown = false;
   std::map<std::string, wire::HalfEpochs> m_epochs;
   std::vector<membership::Member> m_members;
-  net::TimerHandle m_retry;
-  net::TimerHandle m_reports;
+  net::TimerHandle m_reconnectTimer;
+  net::TimerHandle m_reportTimer;
 };
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/model_exchange.hpp
+++ b/include/ferrytray/gate/model_exchange.hpp
@@ -5,13 +5,13 @@
 #include <string> // for string
 #include <vector> // for vector
 
-#include "ferrytray/gate/caller_answer.hpp"   // for CallerAnswer
-#include "ferrytray/gate/context_restore.hpp" // for StoreFound
-#include "ferrytray/gate/engine_attempt.hpp"  // for EngineAttempt
-#include "ferrytray/gate/exporter.hpp"        // for Exporter
-#include "ferrytray/gate/fleet_queues.hpp"    // for FleetQueues
-#include "ferrytray/gate/once_guard.hpp"      // for OnceGuard
-#include "ferrytray/routing/choose.hpp"       // for Choice
+#include "ferrytray/gate/context_exporter.hpp" // for Exporter
+#include "ferrytray/gate/context_restore.hpp"  // for StoreFound
+#include "ferrytray/gate/engine_attempt.hpp"   // for EngineAttempt
+#include "ferrytray/gate/fleet_queues.hpp"     // for FleetQueues
+#include "ferrytray/gate/once_guard.hpp"       // for OnceGuard
+#include "ferrytray/gate/response_writer.hpp"  // for CallerAnswer
+#include "ferrytray/routing/choose.hpp"        // for Choice
 
 namespace ferrytray::gate {
 
@@ -19,7 +19,7 @@
 struct ExchangeServices
 {
   FleetQueues& m_queues;
-  Exporter& m_exporter;
+  ContextExporter& m_exporter;
 };
 
 /// @brief An admitted request for a model.
@@ -27,7 +27,7 @@
 {
   std::string m_request; ///< request id
   net::HttpRequest m_http;
-  CallerTerms m_terms;
+  RequestOptions m_requestOptions;
   ModelRequest m_model;
   config::ClientAccount m_account;
   config::Fleet m_fleet;
@@ -47,35 +47,38 @@
 
 private:
   /// When a caller whose request was not run should come back.
-  static constexpr base::Duration kComeBack = std::chrono::seconds(1);
+  static constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
 
-  void OnVerdict(const OnceVerdict& aVerdict);
-  void BeginRun();
-  void Decide();
-  bool HoldIfBusy();
+  void OnDecision(const OnceDecision& aDecision);
+  void BeginRouting();
+  void Route();
+  bool QueueIfBusy();
   void Record(const std::vector<FleetView::Candidate>& aCandidates,
               const std::vector<std::optional<routing::Plan>>& aPlans,
               const std::string& aWorker);
-  bool RefuseIfTooLate(const routing::Plan& aPlan, std::size_t aWorkers);
-  void Restore();
-  void Run(const std::string& aImport);
+  bool RejectIfTooLate(const routing::Plan& aPlan, std::size_t aWorkers);
+  void RestoreContext();
+  void StartAttempt(const std::string& aImport);
   [[nodiscard]] std::string EngineBody(const std::string& aAttempt,
                                        const std::string& aImport) const;
   void OnText(const std::string& aText);
-  void OnEnd(const AttemptEnd& aEnd);
-  void Handle(const AttemptComplete& aEnd);
-  void Handle(const AttemptNotStarted& aEnd);
-  void Handle(const AttemptWrongVersion& aEnd);
-  void Handle(const AttemptBroken& aEnd);
-  bool TryAgain(base::RunState aRun);
-  void NoteUsage(const Usage& aUsage);
+  void OnEnd(const AttemptResult& aResult);
+  void Handle(const AttemptComplete& aResult);
+  void Handle(const AttemptNotStarted& aResult);
+  void Handle(const AttemptVersionMismatch& aResult);
+  void Handle(const AttemptInterrupted& aResult);
+  bool RetryIfAllowed(base::RunState aRun);
+  void RecordUsage(const TokenUsage& aUsage);
   void Fail(base::ErrorCode aCode, const std::string& aMessage, base::Duration aRetryAfter = {});
-  void OnCallerGone();
+  void OnCallerDisconnected();
   void OnDeadline();
   void EndWork();
 
   /// Of the engine that it was sent to: name and incarnation.
-  [[nodiscard]] std::string Life() const { return m_worker + "/" + m_workerIncarnation; }
+  [[nodiscard]] std::string EngineIncarnation() const
+  {
+    return m_worker + "/" + m_workerIncarnation;
+  }
   [[nodiscard]] routing::RequestShape Shape() const;
   [[nodiscard]] bool Idempotent() const;
   [[nodiscard]] base::RunState RunSoFar() const;
@@ -83,26 +86,26 @@
   GateCore& m_core;
   ExchangeServices m_services;
   ModelCall m_call;
-  CallerAnswer m_answer;
+  ResponseWriter m_answer;
   std::shared_ptr<OnceGuard> m_guard;
   std::shared_ptr<EngineAttempt> m_attempt;
   std::vector<base::Digest128> m_blocks;
-  StoreFound m_store;
+  StoreLookupResult m_store;
   routing::Choice m_choice;
   std::string m_worker;
   std::string m_workerAddress;
   std::string m_workerIncarnation;
-  double m_workerSpeed = 1;
-  std::uint32_t m_workerCached = 0;
-  quarantine::RequestKey m_key; ///< of all requests that are alike
+  double m_workerTokensPerSecond = 1;
+  std::uint32_t m_workerCachedBlocks = 0;
+  quarantine::RequestKey m_requestKey; ///< of all requests that are alike
   base::TimePoint m_sentAt{};
   std::set<std::string> m_tried;
   base::TimePoint m_deadline;
   net::TimerHandle m_deadlineTimer;
-  std::uint64_t m_held = 0;
+  std::uint64_t m_queuedId = 0;
   std::uint32_t m_attempts = 0;
   bool m_mayHaveRun = false;
-  bool m_wasHeld = false;
+  bool m_wasQueued = false;
   bool m_open = false;
 };
 
--- a/include/ferrytray/gate/once_guard.hpp
+++ b/include/ferrytray/gate/once_guard.hpp
@@ -12,21 +12,21 @@
 namespace ferrytray::gate {
 
 /// @brief Run the request here.
-struct RunHere
+struct RunLocally
 {
 };
 /// @brief Send the answer that was kept.
-struct ReplayAnswer
+struct ReplayResponse
 {
   once::KeptAnswer m_answer;
 };
 /// @brief Pass the request on to another gate, a known member.
-struct PassOn
+struct ForwardTo
 {
   std::string m_address;
 };
 
-using OnceVerdict = std::variant<RunHere, ReplayAnswer, PassOn, base::Failure>;
+using OnceDecision = std::variant<RunLocally, ReplayResponse, ForwardTo, base::Failure>;
 
 /// @brief Sees to it that one request runs at most once: by ticket, by claim, or by being sent
 /// once.
@@ -34,37 +34,40 @@
 {
 public:
   OnceGuard(GateCore& aCore,
-            const CallerTerms& aTerms,
+            const RequestOptions& aRequestOptions,
             std::string aAccount,
-            const base::Digest128& aContent);
+            const base::Digest128& aContentDigest);
 
   /// @brief Decides what to do with the request; calls once, perhaps later.
-  void Begin(std::function<void(const OnceVerdict&)> aOnVerdict);
+  void Begin(std::function<void(const OnceDecision&)> aOnDecision);
   /// @brief The request ended with an answer.
   void Finish(const once::KeptAnswer& aAnswer);
   /// @brief The request ended without one.
   void Fail(base::RunState aRun);
   /// @brief Whether the caller may come back for the answer, so that it is worth finishing.
-  [[nodiscard]] bool KeepsAnswer() const { return m_terms.m_ticket || m_terms.m_idempotencyKey; }
+  [[nodiscard]] bool StoresResponse() const
+  {
+    return m_requestOptions.m_ticket || m_requestOptions.m_idempotencyKey;
+  }
 
 private:
-  void Tell(const OnceVerdict& aVerdict);
+  void Resolve(const OnceDecision& aDecision);
   void BeginTicket();
   void BeginClaim();
   void OnClaim(const once::ClaimAction& aAction);
-  [[nodiscard]] OnceVerdict VerdictFor(const once::RedeemElsewhere& aElsewhere) const;
-  [[nodiscard]] OnceVerdict VerdictForHolder(const once::LiveClaim& aHolder) const;
-  [[nodiscard]] OnceVerdict PassOnTo(const std::string& aIncarnation) const;
+  [[nodiscard]] OnceDecision DecideRemoteTicket(const once::RedeemElsewhere& aRemoteTicket) const;
+  [[nodiscard]] OnceDecision DecideLostClaim(const once::LiveClaim& aHolder) const;
+  [[nodiscard]] OnceDecision ForwardToIncarnation(const std::string& aIncarnation) const;
 
   GateCore& m_core;
-  CallerTerms m_terms;
+  RequestOptions m_requestOptions;
   std::string m_account;
-  base::Digest128 m_content;
-  base::Digest128 m_key;
+  base::Digest128 m_contentDigest;
+  base::Digest128 m_keyDigest;
   std::optional<base::Digest128> m_claim;
-  bool m_claimEnded = false; ///< settled against this request, perhaps at once
-  bool m_redeemed = false;
-  std::function<void(const OnceVerdict&)> m_onVerdict;
+  bool m_claimRejected = false; ///< settled against this request, perhaps at once
+  bool m_ticketRedeemed = false;
+  std::function<void(const OnceDecision&)> m_onDecision;
 };
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/operator_pages.hpp
+++ b/include/ferrytray/gate/operator_requests.hpp
@@ -11,10 +11,10 @@
 /// metrics, the end of a hand-over, the story of a request.
 /// @param aDraining whether a planned stop has begun
 /// @return whether it was such a question
-bool AnswerOperator(GateCore& aCore,
-                    const net::HttpServerCounters& aCounters,
-                    bool aDraining,
-                    const net::HttpRequest& aRequest,
-                    const std::shared_ptr<net::HttpReply>& aReply);
+bool HandleOperatorRequest(GateCore& aCore,
+                           const net::HttpServerCounters& aCounters,
+                           bool aDraining,
+                           const net::HttpRequest& aRequest,
+                           const std::shared_ptr<net::HttpReply>& aReply);
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/options.hpp
+++ b/include/ferrytray/gate/options.hpp
@@ -20,19 +20,19 @@
   net::Address m_keeper{ "127.0.0.1", 0 };    ///< this host's keeper (TCP)
   std::size_t m_maxBodyBytes = 8U << 20U;     ///< longer bodies are refused
   std::size_t m_maxHeaderBytes = 32U << 10U;
-  std::size_t m_maxSlowCallerBytes = 4U << 20U; ///< unread answer at which a caller is dropped
-  std::size_t m_keptAnswerBytes = 16U << 20U;
+  std::size_t m_maxUnsentBytes = 4U << 20U; ///< unread answer at which a caller is dropped
+  std::size_t m_maxStoredResponseBytes = 16U << 20U;
   std::size_t m_queueCapacity = 4096; ///< held requests of a fleet
   base::Duration m_holdAbove =
     std::chrono::milliseconds(300); ///< engine queue at which requests are held here
   base::Duration m_defaultDeadline = std::chrono::minutes(5);
-  base::Duration m_longestDeadline = std::chrono::minutes(30);
+  base::Duration m_maxDeadline = std::chrono::minutes(30);
   base::Duration m_drainWait = std::chrono::seconds(2); ///< for the balancer to notice a stop
-  base::Duration m_loadTrust = std::chrono::seconds(10);
+  base::Duration m_maxLoadReportAge = std::chrono::seconds(10);
   base::Duration m_claimTimeout = std::chrono::seconds(2);
   base::Duration m_claimWindow = std::chrono::hours(1);
   /// A change of the configuration is in force within so long after the log took it.
-  base::Duration m_configurationDue = std::chrono::seconds(3);
+  base::Duration m_maxConfigurationDelay = std::chrono::seconds(3);
 };
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/pass_through.hpp
+++ b/include/ferrytray/gate/request_forwarding.hpp
@@ -11,10 +11,10 @@
 /// @brief Passes a request on to another gate and its answer back, piece by piece.
 /// @param aAddress IP:PORT of a known member's gate
 /// @param aRequestId for the error answer when the other gate cannot be reached
-void PassToGate(GateCore& aCore,
-                const std::string& aAddress,
-                const net::HttpRequest& aRequest,
-                const std::string& aRequestId,
-                std::shared_ptr<net::HttpReply> aReply);
+void ForwardRequest(GateCore& aCore,
+                    const std::string& aAddress,
+                    const net::HttpRequest& aRequest,
+                    const std::string& aRequestId,
+                    std::shared_ptr<net::HttpReply> aReply);
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/answer_format.hpp
+++ b/include/ferrytray/gate/response_format.hpp
@@ -10,7 +10,7 @@
 namespace ferrytray::gate {
 
 /// @brief Where an answer's context came from, in tokens.
-struct Usage
+struct TokenUsage
 {
   std::uint32_t m_prompt = 0;
   std::uint32_t m_completion = 0;
@@ -20,29 +20,31 @@
 };
 
 /// @brief Names one answer.
-struct AnswerNames
+struct ResponseMetadata
 {
   std::string m_request;
   std::string m_model;
 };
 
 /// @brief The error body: {"error": {"code", "message", "run", "request"}}.
-std::string ErrorBody(const base::Failure& aFailure, const std::string& aRequest);
+std::string FormatErrorBody(const base::Failure& aFailure, const std::string& aRequest);
 /// @brief Sends a whole error answer, with Retry-After where there is advice.
-void SendFailure(net::HttpReply& aReply,
-                 const base::Failure& aFailure,
-                 const std::string& aRequest);
+void SendError(net::HttpReply& aReply, const base::Failure& aFailure, const std::string& aRequest);
 
 /// @brief A whole answer.
-std::string WholeAnswer(AnswerShape aShape,
-                        const AnswerNames& aNames,
-                        const std::string& aText,
-                        const Usage& aUsage);
+std::string FormatResponse(CompletionKind aKind,
+                           const ResponseMetadata& aMetadata,
+                           const std::string& aText,
+                           const TokenUsage& aUsage);
 /// @brief One server-sent event with a piece of the text.
-std::string PieceEvent(AnswerShape aShape, const AnswerNames& aNames, const std::string& aText);
+std::string FormatChunkEvent(CompletionKind aKind,
+                             const ResponseMetadata& aMetadata,
+                             const std::string& aText);
 /// @brief The last events of a stream.
-std::string LastEvents(AnswerShape aShape, const AnswerNames& aNames, const Usage& aUsage);
+std::string FormatFinalEvents(CompletionKind aKind,
+                              const ResponseMetadata& aMetadata,
+                              const TokenUsage& aUsage);
 /// @brief The event that ends a broken stream; no [DONE] follows.
-std::string ErrorEvent(const base::Failure& aFailure, const std::string& aRequest);
+std::string FormatErrorEvent(const base::Failure& aFailure, const std::string& aRequest);
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/service_exchange.hpp
+++ b/include/ferrytray/gate/service_exchange.hpp
@@ -13,7 +13,7 @@
 {
   std::string m_request; ///< request id
   net::HttpRequest m_http;
-  CallerTerms m_terms;
+  RequestOptions m_requestOptions;
   config::ClientAccount m_account;
   config::Service m_service;
   base::TimePoint m_arrival;
@@ -28,25 +28,25 @@
   void Start();
 
 private:
-  void OnVerdict(const OnceVerdict& aVerdict);
+  void OnDecision(const OnceDecision& aDecision);
   void Send();
   void OnReply(const std::string& aEndpoint,
                const net::ClientOutcome& aOutcome,
                const std::string& aBody);
-  bool TryAgain(const std::string& aEndpoint, base::RunState aRun);
+  bool RetryIfAllowed(const std::string& aEndpoint, base::RunState aRun);
   void Answer(const net::ClientOutcome& aOutcome, const std::string& aBody);
   void Fail(base::ErrorCode aCode, const std::string& aMessage, base::RunState aRun);
   void EndWork();
   /// What the reply's end says of the request and of the endpoint.
-  void NoteCrash(const net::ClientOutcome& aOutcome);
+  void RecordCrashOutcome(const net::ClientOutcome& aOutcome);
   [[nodiscard]] bool Idempotent() const;
 
   GateCore& m_core;
   ServiceCall m_call;
   std::shared_ptr<net::HttpReply> m_reply;
   std::shared_ptr<OnceGuard> m_guard;
-  quarantine::RequestKey m_key; ///< of all requests that are alike
-  std::string m_life;           ///< of the endpoint that it was sent to: name and incarnation
+  quarantine::RequestKey m_requestKey; ///< of all requests that are alike
+  std::string m_endpointIncarnation; ///< of the endpoint that it was sent to: name and incarnation
   base::TimePoint m_sentAt{};
   std::set<std::string> m_tried;
   base::TimePoint m_deadline;
--- a/include/ferrytray/gate/ticket_handover.hpp
+++ b/include/ferrytray/gate/ticket_transfer.hpp
@@ -10,10 +10,10 @@
 namespace ferrytray::gate {
 
 /// @brief Gives this gate's tickets to one peer on a planned stop, and takes a peer's.
-class TicketMover
+class TicketTransfer
 {
 public:
-  explicit TicketMover(GateCore& aCore)
+  explicit TicketTransfer(GateCore& aCore)
     : m_core(aCore)
   {
   }
@@ -23,11 +23,11 @@
   [[nodiscard]] net::Address ControlAddress() const { return m_server->ListenAddress(); }
   /// @brief Freezes the table and sends it to one named peer, again and again to that one alone.
   /// @param aDone called when the peer has it, or when there is no peer or no more time
-  void GiveAway(std::function<void()> aDone);
+  void TransferToPeer(std::function<void()> aDone);
 
 private:
   void OnChannel(const std::shared_ptr<net::FrameChannel>& aChannel);
-  void Take(const wire::TicketHandover& aTable, net::FrameChannel& aChannel);
+  void AcceptTable(const wire::TicketHandover& aTable, net::FrameChannel& aChannel);
   void SendTo(const net::Address& aPeer);
   void Finish();
 
@@ -35,8 +35,8 @@
   std::unique_ptr<net::FrameServer> m_server;
   std::string m_frame;
   std::function<void()> m_done;
-  net::TimerHandle m_retry;
-  net::TimerHandle m_giveUp;
+  net::TimerHandle m_retryTimer;
+  net::TimerHandle m_transferTimeout;
 };
 
 } // namespace ferrytray::gate
--- a/src/ferrytray/gate/cache_watch.cpp
+++ b/src/ferrytray/gate/cache_event_poller.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/cache_watch.hpp"
+#include "ferrytray/gate/cache_event_poller.hpp"
 
 #include <vector> // for vector
 
@@ -47,36 +47,36 @@
 
 } // namespace
 
-void CacheWatch::Start()
+void CacheEventPoller::Start()
 {
   m_timer = m_core.m_loop.Every(kPollEvery, [this] { Poll(); });
 }
 
-void CacheWatch::Poll()
+void CacheEventPoller::Poll()
 {
   for (const wire::EndpointStatus& endpoint : m_core.m_view.Endpoints()) {
     const bool own = endpoint.m_host.m_zone == m_core.m_options.m_zone;
     const bool engine = endpoint.m_host.m_role == wire::Role::Engine;
-    if (own && engine && m_busy.insert(endpoint.m_host.m_name).second) {
+    if (own && engine && m_inFlight.insert(endpoint.m_host.m_name).second) {
       PollEvents(endpoint.m_host.m_name, endpoint.m_host.m_address);
     }
   }
 }
 
-void CacheWatch::PollEvents(const std::string& aWorker, const std::string& aAddress)
+void CacheEventPoller::PollEvents(const std::string& aWorker, const std::string& aAddress)
 {
   const std::uint64_t last = m_core.m_view.Hints().LastSequence(aWorker);
   m_core.m_http->Fetch(
     Get(aAddress, "/events?after=" + std::to_string(last)),
     [this, aWorker, aAddress](const net::ClientOutcome& aOutcome, const std::string& aBody) {
-      m_busy.erase(aWorker);
+      m_inFlight.erase(aWorker);
       if (aOutcome.m_status != 200) {
         return;
       }
       try {
         if (!m_core.m_view.Hints().OnEvents(aWorker, ReadEvents(json::parse(aBody)))) {
           m_core.m_metrics.Count("cache_event_gaps_total");
-          List(aWorker, aAddress);
+          FetchBlockList(aWorker, aAddress);
         }
       } catch (const json::exception&) {
         m_core.m_metrics.Count("cache_events_malformed_total");
@@ -84,7 +84,7 @@
     });
 }
 
-void CacheWatch::List(const std::string& aWorker, const std::string& aAddress)
+void CacheEventPoller::FetchBlockList(const std::string& aWorker, const std::string& aAddress)
 {
   m_core.m_http->Fetch(
     Get(aAddress, "/kv/list"),
--- a/src/ferrytray/gate/caller_request.cpp
+++ b/src/ferrytray/gate/caller_request.cpp
@@ -22,7 +22,7 @@
   return value.empty() ? std::nullopt : std::optional(std::string(value));
 }
 
-base::Result<std::optional<base::Duration>> ReadDeadline(const net::HttpRequest& aRequest)
+base::Result<std::optional<base::Duration>> ParseDeadline(const net::HttpRequest& aRequest)
 {
   const std::string_view text = aRequest.Header("Ferrytray-Deadline-Ms");
   if (text.empty()) {
@@ -30,15 +30,15 @@
   }
   std::uint64_t millis = 0;
   const auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), millis);
-  const bool whole = code == std::errc() && end == text.data() + text.size();
-  if (!whole || millis == 0 || millis > kMaxDeadlineMillis) {
+  const bool parsedWhole = code == std::errc() && end == text.data() + text.size();
+  if (!parsedWhole || millis == 0 || millis > kMaxDeadlineMillis) {
     return base::Fail(ErrorCode::InvalidField,
                       "Ferrytray-Deadline-Ms expects milliseconds from 1 to 86400000");
   }
   return std::chrono::milliseconds(millis);
 }
 
-base::Result<std::optional<bool>> ReadIdempotent(const net::HttpRequest& aRequest)
+base::Result<std::optional<bool>> ParseIdempotent(const net::HttpRequest& aRequest)
 {
   const std::string_view text = aRequest.Header("Ferrytray-Idempotent");
   if (text.empty()) {
@@ -60,41 +60,41 @@
   return prompt;
 }
 
-base::Result<std::uint32_t> ReadCount(const json& aBody,
-                                      const char* aName,
-                                      std::uint32_t aDefault,
-                                      std::uint32_t aMost)
+base::Result<std::uint32_t> ParseCount(const json& aBody,
+                                       const char* aName,
+                                       std::uint32_t aDefault,
+                                       std::uint32_t aMax)
 {
   const auto found = aBody.find(aName);
   if (found == aBody.end()) {
     return aDefault;
   }
-  const bool fits = found->is_number_unsigned() && found->get<std::uint64_t>() <= aMost;
+  const bool fits = found->is_number_unsigned() && found->get<std::uint64_t>() <= aMax;
   if (!fits) {
     return base::Fail(ErrorCode::InvalidField,
                       "field '" + std::string(aName) + "' expects a whole number up to " +
-                        std::to_string(aMost));
+                        std::to_string(aMax));
   }
   return found->get<std::uint32_t>();
 }
 
-base::Result<std::string> ReadPrompt(AnswerShape aShape, const json& aBody)
+base::Result<std::string> ParsePrompt(CompletionKind aKind, const json& aBody)
 {
-  const char* field = aShape == AnswerShape::Chat ? "messages" : "prompt";
+  const char* field = aKind == CompletionKind::Chat ? "messages" : "prompt";
   if (!aBody.contains(field)) {
     return base::Fail(ErrorCode::MissingField, "field '" + std::string(field) + "' is missing");
   }
   try {
-    return aShape == AnswerShape::Chat ? FlattenMessages(aBody.at(field))
-                                       : aBody.at(field).get<std::string>();
+    return aKind == CompletionKind::Chat ? FlattenMessages(aBody.at(field))
+                                         : aBody.at(field).get<std::string>();
   } catch (const json::exception&) {
     return base::Fail(ErrorCode::InvalidField,
-                      aShape == AnswerShape::Chat ? "field 'messages' expects [{role, content}]"
-                                                  : "field 'prompt' expects a string");
+                      aKind == CompletionKind::Chat ? "field 'messages' expects [{role, content}]"
+                                                    : "field 'prompt' expects a string");
   }
 }
 
-base::Result<ModelRequest> ReadFields(AnswerShape aShape, const json& aBody)
+base::Result<ModelRequest> ParseFields(CompletionKind aKind, const json& aBody)
 {
   const auto model = aBody.find("model");
   if (model == aBody.end() || !model->is_string()) {
@@ -104,9 +104,9 @@
   if (stream != aBody.end() && !stream->is_boolean()) {
     return base::Fail(ErrorCode::InvalidField, "field 'stream' expects true or false");
   }
-  auto prompt = ReadPrompt(aShape, aBody);
-  auto maxTokens = ReadCount(aBody, "max_tokens", 16, kMaxTokens);
-  auto priority = ReadCount(aBody, "priority", 1, kLowestPriority);
+  auto prompt = ParsePrompt(aKind, aBody);
+  auto maxTokens = ParseCount(aBody, "max_tokens", 16, kMaxTokens);
+  auto priority = ParseCount(aBody, "priority", 1, kLowestPriority);
   for (const base::Failure* failure : { prompt ? nullptr : &prompt.error(),
                                         maxTokens ? nullptr : &maxTokens.error(),
                                         priority ? nullptr : &priority.error() }) {
@@ -115,7 +115,7 @@
     }
   }
   ModelRequest request;
-  request.m_shape = aShape;
+  request.m_kind = aKind;
   request.m_model = model->get<std::string>();
   request.m_prompt = std::move(*prompt);
   request.m_maxTokens = *maxTokens;
@@ -126,7 +126,7 @@
 
 } // namespace
 
-base::Result<CallerTerms> ReadTerms(const net::HttpRequest& aRequest)
+base::Result<RequestOptions> ParseRequestOptions(const net::HttpRequest& aRequest)
 {
   constexpr std::string_view kBearer = "Bearer ";
   const std::string_view authorization = aRequest.Header("Authorization");
@@ -134,32 +134,32 @@
       authorization.size() == kBearer.size()) {
     return base::Fail(ErrorCode::MissingKey, "expected 'Authorization: Bearer KEY'");
   }
-  const auto deadline = ReadDeadline(aRequest);
-  const auto idempotent = ReadIdempotent(aRequest);
+  const auto deadline = ParseDeadline(aRequest);
+  const auto idempotent = ParseIdempotent(aRequest);
   if (!deadline) {
     return tl::unexpected(deadline.error());
   }
   if (!idempotent) {
     return tl::unexpected(idempotent.error());
   }
-  CallerTerms terms;
-  terms.m_key = std::string(authorization.substr(kBearer.size()));
-  terms.m_idempotencyKey = OptionalHeader(aRequest, "Idempotency-Key");
-  terms.m_ticket = OptionalHeader(aRequest, "Ferrytray-Ticket");
-  terms.m_idempotent = *idempotent;
-  terms.m_deadline = *deadline;
-  terms.m_forwarded = !aRequest.Header("Ferrytray-Forwarded").empty();
-  if (terms.m_idempotencyKey && terms.m_ticket) {
+  RequestOptions requestOptions;
+  requestOptions.m_apiKey = std::string(authorization.substr(kBearer.size()));
+  requestOptions.m_idempotencyKey = OptionalHeader(aRequest, "Idempotency-Key");
+  requestOptions.m_ticket = OptionalHeader(aRequest, "Ferrytray-Ticket");
+  requestOptions.m_idempotent = *idempotent;
+  requestOptions.m_deadline = *deadline;
+  requestOptions.m_forwarded = !aRequest.Header("Ferrytray-Forwarded").empty();
+  if (requestOptions.m_idempotencyKey && requestOptions.m_ticket) {
     return base::Fail(ErrorCode::InvalidField,
                       "Idempotency-Key and Ferrytray-Ticket exclude each other");
   }
-  if (terms.m_idempotencyKey.value_or("").size() > kMaxKeyBytes) {
+  if (requestOptions.m_idempotencyKey.value_or("").size() > kMaxKeyBytes) {
     return base::Fail(ErrorCode::InvalidField, "Idempotency-Key expects at most 256 bytes");
   }
-  return terms;
+  return requestOptions;
 }
 
-base::Result<ModelRequest> ReadModelRequest(AnswerShape aShape, const std::string& aBody)
+base::Result<ModelRequest> ParseModelRequest(CompletionKind aKind, const std::string& aBody)
 {
   const json body = json::parse(aBody, nullptr, false);
   if (body.is_discarded()) {
@@ -168,7 +168,7 @@
   if (!body.is_object()) {
     return base::Fail(ErrorCode::MalformedJson, "the body is not a JSON object");
   }
-  return ReadFields(aShape, body);
+  return ParseFields(aKind, body);
 }
 
 base::Digest128 ContentDigest(const net::HttpRequest& aRequest)
--- a/src/ferrytray/gate/exporter.cpp
+++ b/src/ferrytray/gate/context_exporter.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/exporter.hpp"
+#include "ferrytray/gate/context_exporter.hpp"
 
 #include <algorithm> // for max, min
 #include <span>      // for span
@@ -14,9 +14,9 @@
 using nlohmann::json;
 
 constexpr base::Duration kExportTimeout = std::chrono::seconds(30);
-constexpr std::size_t kMaxWaiting = 256;
+constexpr std::size_t kMaxQueuedExports = 256;
 constexpr std::size_t kChunkBlocks = 16; // about what an import may have to wait behind
-constexpr base::Duration kLinkPause = std::chrono::milliseconds(100);
+constexpr base::Duration kLinkRetryDelay = std::chrono::milliseconds(100);
 
 net::ClientRequest Post(const std::string& aAddress, const std::string& aPath, const json& aBody)
 {
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void Exporter::Consider(ExportJob aJob)
+void ContextExporter::ExportIfWorthwhile(ExportJob aJob)
 {
   const bool stored = aJob.m_store.m_view.m_storedBlocks >= aJob.m_blocks.size();
   if (aJob.m_store.m_address.empty() || aJob.m_blocks.empty() || stored) {
@@ -41,77 +41,79 @@
                                         aJob.m_recomputeSeconds,
                                         base::Duration::zero() };
   const bool keep = routing::ShouldExport(context, gaps, aJob.m_store.m_pressure, {});
-  const double worth = routing::KeepValue(context, gaps);
+  const double value = routing::KeepValue(context, gaps);
   telemetry::LogLine("keep")
     .Add("request", aJob.m_request)
     .Add("store", aJob.m_store.m_store)
     .Add("blocks", aJob.m_blocks.size())
-    .Add("worth", worth * 1e12)
+    .Add("worth", value * 1e12)
     .Add("export", keep ? "yes" : "no");
   if (keep) {
-    Push({ std::move(aJob), worth, 0 });
+    Enqueue({ std::move(aJob), value, 0 });
   }
 }
 
-void Exporter::Push(Job aJob)
+void ContextExporter::Enqueue(PendingExport aJob)
 {
   const std::string store = aJob.m_job.m_store.m_store;
-  auto& waiting = m_waiting[store];
-  if (waiting.size() < kMaxWaiting) {
-    waiting.push_back(std::move(aJob));
+  auto& queued = m_queued[store];
+  if (queued.size() < kMaxQueuedExports) {
+    queued.push_back(std::move(aJob));
     StartNext(store);
   }
 }
 
-void Exporter::StartNext(const std::string& aStore)
+void ContextExporter::StartNext(const std::string& aStore)
 {
-  auto& waiting = m_waiting[aStore];
-  if (m_busy[aStore] || waiting.empty()) {
+  auto& queued = m_queued[aStore];
+  if (m_busy[aStore] || queued.empty()) {
     return;
   }
   m_busy[aStore] = true;
-  const Job job = std::move(waiting.front());
-  waiting.pop_front();
-  AskStore(job);
+  const PendingExport job = std::move(queued.front());
+  queued.pop_front();
+  CheckStore(job);
 }
 
-void Exporter::AskStore(const Job& aJob)
+void ContextExporter::CheckStore(const PendingExport& aJob)
 {
   // Another gate may have kept it since, and imports may have come to wait.
-  LookupStores(
-    m_core, aJob.m_job.m_blocks, [this, aJob](const StoreFound& aFound) { OnStore(aJob, aFound); });
+  LookupStores(m_core, aJob.m_job.m_blocks, [this, aJob](const StoreLookupResult& aLookup) {
+    OnStoreChecked(aJob, aLookup);
+  });
 }
 
-void Exporter::OnStore(Job aJob, const StoreFound& aFound)
+void ContextExporter::OnStoreChecked(PendingExport aJob, const StoreLookupResult& aLookup)
 {
-  if (aFound.m_store != aJob.m_job.m_store.m_store) {
+  if (aLookup.m_store != aJob.m_job.m_store.m_store) {
     Finish(std::move(aJob), false);
     return;
   }
-  aJob.m_moved = std::max<std::size_t>(aJob.m_moved, aFound.m_view.m_storedBlocks);
-  if (aJob.m_moved >= aJob.m_job.m_blocks.size()) {
+  aJob.m_exportedBlocks =
+    std::max<std::size_t>(aJob.m_exportedBlocks, aLookup.m_view.m_storedBlocks);
+  if (aJob.m_exportedBlocks >= aJob.m_job.m_blocks.size()) {
     Finish(std::move(aJob), true);
-  } else if (aFound.m_pressure.m_importQueue > routing::KeepOptions{}.m_yieldTo) {
+  } else if (aLookup.m_pressure.m_importQueue > routing::KeepOptions{}.m_yieldTo) {
     WaitForLink(aJob);
   } else {
-    MoveChunk(aJob);
+    ExportChunk(aJob);
   }
 }
 
-void Exporter::WaitForLink(const Job& aJob)
+void ContextExporter::WaitForLink(const PendingExport& aJob)
 {
   m_core.m_metrics.Count("exports_yielded_total");
-  m_pauses[aJob.m_job.m_store.m_store] =
-    m_core.m_loop.After(kLinkPause, [this, aJob] { AskStore(aJob); });
+  m_retryTimers[aJob.m_job.m_store.m_store] =
+    m_core.m_loop.After(kLinkRetryDelay, [this, aJob] { CheckStore(aJob); });
 }
 
-void Exporter::MoveChunk(const Job& aJob)
+void ContextExporter::ExportChunk(const PendingExport& aJob)
 {
-  const std::string upload = m_core.NextAttempt();
+  const std::string upload = m_core.NextAttemptId();
   const std::span<const base::Digest128> blocks(aJob.m_job.m_blocks);
-  const std::size_t count = std::min(kChunkBlocks, blocks.size() - aJob.m_moved);
+  const std::size_t count = std::min(kChunkBlocks, blocks.size() - aJob.m_exportedBlocks);
   json names = json::array();
-  for (const base::Digest128& block : blocks.subspan(aJob.m_moved, count)) {
+  for (const base::Digest128& block : blocks.subspan(aJob.m_exportedBlocks, count)) {
     names.push_back(base::ToHex(block));
   }
   const json body{ { "upload", upload },
@@ -128,44 +130,45 @@
     });
 }
 
-void Exporter::Commit(const Job& aJob,
-                      const std::string& aUpload,
-                      const std::string& aManifestReply)
+void ContextExporter::Commit(const PendingExport& aJob,
+                             const std::string& aUpload,
+                             const std::string& aManifestReply)
 {
   const json reply = json::parse(aManifestReply, nullptr, false);
   // The engine may have evicted the rest since; what was not moved is not kept.
-  const bool moved = reply.is_object() && reply.contains("manifest") && !reply["manifest"].empty();
-  if (!moved) {
+  const bool exported =
+    reply.is_object() && reply.contains("manifest") && !reply["manifest"].empty();
+  if (!exported) {
     Finish(aJob, false);
     return;
   }
   const json body{ { "upload", aUpload },
                    { "manifest", reply["manifest"] },
-                   { "worth", aJob.m_worth } };
-  Job next = aJob;
-  next.m_moved += reply["manifest"].size();
+                   { "worth", aJob.m_value } };
+  PendingExport next = aJob;
+  next.m_exportedBlocks += reply["manifest"].size();
   m_core.m_http->Fetch(Post(aJob.m_job.m_store.m_address, "/kv/commit", body),
                        [this, next](const net::ClientOutcome& aOutcome, const std::string&) {
-                         const bool more = next.m_moved < next.m_job.m_blocks.size();
+                         const bool more = next.m_exportedBlocks < next.m_job.m_blocks.size();
                          if (aOutcome.m_status == 200 && more) {
-                           AskStore(next);
+                           CheckStore(next);
                          } else {
                            Finish(next, aOutcome.m_status == 200);
                          }
                        });
 }
 
-void Exporter::Finish(Job aJob, bool aKept)
+void ContextExporter::Finish(PendingExport aJob, bool aExported)
 {
   const ExportJob& job = aJob.m_job;
   telemetry::LogLine("kept")
     .Add("request", job.m_request)
     .Add("store", job.m_store.m_store)
-    .Add("blocks", aJob.m_moved)
-    .Add("ok", aKept ? "yes" : "no");
-  m_core.m_metrics.Count(aKept ? "exports_total{result=\"kept\"}"
-                               : "exports_total{result=\"failed\"}");
-  if (aKept) {
+    .Add("blocks", aJob.m_exportedBlocks)
+    .Add("ok", aExported ? "yes" : "no");
+  m_core.m_metrics.Count(aExported ? "exports_total{result=\"kept\"}"
+                                   : "exports_total{result=\"failed\"}");
+  if (aExported) {
     m_core.m_metrics.Count("export_link_bytes_total", job.m_bytes);
   }
   m_busy[job.m_store.m_store] = false;
--- a/src/ferrytray/gate/context_log.cpp
+++ b/src/ferrytray/gate/context_tracker.cpp
@@ -1,15 +1,15 @@
-#include "ferrytray/gate/context_log.hpp"
+#include "ferrytray/gate/context_tracker.hpp"
 
 namespace ferrytray::gate {
 
-std::optional<base::Duration> ContextLog::OnRequest(const std::string& aAccount,
-                                                    const base::Digest128& aContext,
-                                                    base::TimePoint aNow)
+std::optional<base::Duration> ContextTracker::OnRequest(const std::string& aAccount,
+                                                        const base::Digest128& aContext,
+                                                        base::TimePoint aNow)
 {
   const auto found = m_byContext.find(aContext);
   if (found != m_byContext.end()) {
-    const base::Duration gap = aNow - found->second->m_at;
-    found->second->m_at = aNow;
+    const base::Duration gap = aNow - found->second->m_lastSeen;
+    found->second->m_lastSeen = aNow;
     m_recent.splice(m_recent.begin(), m_recent, found->second);
     m_gaps[aAccount].OnReturn(gap);
     return gap;
--- a/src/ferrytray/gate/engine_attempt.cpp
+++ b/src/ferrytray/gate/engine_attempt.cpp
@@ -11,7 +11,7 @@
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 constexpr int kMaxResumes = 3;
-constexpr std::size_t kMaxHeldBytes = 1U << 20U;
+constexpr std::size_t kMaxReorderBytes = 1U << 20U;
 constexpr base::Duration kResumeDelay = std::chrono::milliseconds(50);
 constexpr base::Duration kConnectTimeout = std::chrono::seconds(1);
 constexpr once::AttemptId kThisAttempt = 1;
@@ -22,7 +22,7 @@
   : m_core(aCore)
   , m_request(std::move(aRequest))
   , m_handlers(std::move(aHandlers))
-  , m_assembler(kMaxHeldBytes)
+  , m_assembler(kMaxReorderBytes)
 {
   m_assembler.Begin(kThisAttempt);
 }
@@ -45,12 +45,12 @@
   aRequest.m_connectTimeout = kConnectTimeout;
   m_status = 0;
   m_errorBody.clear();
-  m_stream = EngineStream();
+  m_parser = EngineEventParser();
   const auto self = shared_from_this();
   net::ClientEvents events;
   events.m_onStatus = [self](int aStatus) { self->m_status = aStatus; };
   events.m_onData = [self](std::string_view aBytes) { self->OnBytes(aBytes); };
-  events.m_onEnd = [self](const net::ClientOutcome& aOutcome) { self->OnWireEnd(aOutcome); };
+  events.m_onEnd = [self](const net::ClientOutcome& aOutcome) { self->OnTransferEnd(aOutcome); };
   m_call = m_core.m_http->Start(std::move(aRequest), std::move(events));
 }
 
@@ -63,28 +63,28 @@
     m_errorBody.append(aBytes);
     return;
   }
-  for (const EngineEvent& event : m_stream.Feed(aBytes)) {
+  for (const EngineEvent& event : m_parser.Feed(aBytes)) {
     if (!m_ended) {
       std::visit([this](const auto& aEvent) { OnEvent(aEvent); }, event);
     }
   }
 }
 
-void EngineAttempt::OnEvent(const EnginePiece& aPiece)
+void EngineAttempt::OnEvent(const EngineChunk& aChunk)
 {
-  if (aPiece.m_version != m_request.m_version) {
+  if (aChunk.m_version != m_request.m_version) {
     const Handlers handlers = m_handlers;
     Cancel();
     m_handlers = handlers;
     m_ended = false;
-    End(AttemptWrongVersion{});
+    End(AttemptVersionMismatch{});
     return;
   }
-  if (aPiece.m_last) {
-    m_usage = aPiece.m_usage;
+  if (aChunk.m_last) {
+    m_usage = aChunk.m_usage;
   }
   const std::string ready =
-    m_assembler.Accept({ kThisAttempt, aPiece.m_offset, aPiece.m_text, aPiece.m_last });
+    m_assembler.Accept({ kThisAttempt, aChunk.m_offset, aChunk.m_text, aChunk.m_last });
   if (!ready.empty()) {
     m_handlers.m_onText(ready);
   }
@@ -93,44 +93,44 @@
   }
 }
 
-void EngineAttempt::OnEvent(const EngineRefusal& aRefusal)
+void EngineAttempt::OnEvent(const EngineError& aError)
 {
-  if (aRefusal.m_started) {
-    End(AttemptBroken{ aRefusal.m_message, false });
+  if (aError.m_started) {
+    End(AttemptInterrupted{ aError.m_message, false });
   } else {
-    End(AttemptNotStarted{ aRefusal.m_message, false });
+    End(AttemptNotStarted{ aError.m_message, false });
   }
 }
 
-void EngineAttempt::OnWireEnd(const net::ClientOutcome& aOutcome)
+void EngineAttempt::OnTransferEnd(const net::ClientOutcome& aOutcome)
 {
   m_call = 0;
   if (m_ended) {
     return;
   }
-  const bool first = m_resumes == 0;
+  const bool first = m_resumeCount == 0;
   if (first && aOutcome.m_end == net::WireEnd::NotSent) {
     End(AttemptNotStarted{ aOutcome.m_detail, false });
     return;
   }
   const bool refused = aOutcome.m_end == net::WireEnd::Complete && aOutcome.m_status != kOk;
   if (refused && first) {
-    const EngineRefusal refusal = ReadRefusal(m_errorBody);
-    if (refusal.m_started) {
-      End(AttemptBroken{ refusal.m_message, false });
+    const EngineError error = ParseEngineError(m_errorBody);
+    if (error.m_started) {
+      End(AttemptInterrupted{ error.m_message, false });
     } else {
-      End(AttemptNotStarted{ refusal.m_message, aOutcome.m_status == kUnavailable });
+      End(AttemptNotStarted{ error.m_message, aOutcome.m_status == kUnavailable });
     }
     return;
   }
-  if (refused || m_resumes >= kMaxResumes) {
-    End(AttemptBroken{ "the engine's stream broke: " + aOutcome.m_detail,
-                       !refused && !aOutcome.m_timedOut });
+  if (refused || m_resumeCount >= kMaxResumes) {
+    End(AttemptInterrupted{ "the engine's stream broke: " + aOutcome.m_detail,
+                            !refused && !aOutcome.m_timedOut });
     return;
   }
-  ++m_resumes;
+  ++m_resumeCount;
   const auto self = shared_from_this();
-  m_resumeTimer = m_core.m_loop.After(kResumeDelay * m_resumes, [self] { self->Resume(); });
+  m_resumeTimer = m_core.m_loop.After(kResumeDelay * m_resumeCount, [self] { self->Resume(); });
 }
 
 void EngineAttempt::Resume()
@@ -167,13 +167,13 @@
   m_core.m_http->Fetch(std::move(request), [](const auto&, const auto&) {});
 }
 
-void EngineAttempt::End(const AttemptEnd& aEnd)
+void EngineAttempt::End(const AttemptResult& aResult)
 {
   m_ended = true;
   const auto onEnd = std::exchange(m_handlers.m_onEnd, nullptr);
   m_handlers.m_onText = nullptr;
   if (onEnd) {
-    onEnd(aEnd);
+    onEnd(aResult);
   }
 }
 
--- a/src/ferrytray/gate/fleet_queues.cpp
+++ b/src/ferrytray/gate/fleet_queues.cpp
@@ -6,51 +6,51 @@
 
 namespace {
 
-constexpr base::Duration kPumpEvery = std::chrono::milliseconds(10);
+constexpr base::Duration kDispatchInterval = std::chrono::milliseconds(10);
 
 } // namespace
 
 void FleetQueues::Start()
 {
-  m_timer = m_core.m_loop.Every(kPumpEvery, [this] { Pump(); });
+  m_timer = m_core.m_loop.Every(kDispatchInterval, [this] { Dispatch(); });
 }
 
-bool FleetQueues::MustHold(const std::string& aFleet) const
+bool FleetQueues::MustQueue(const std::string& aFleet) const
 {
   const auto queue = m_queues.find(aFleet);
   // Who comes later must not pass those that are held.
   if (queue != m_queues.end() && queue->second.m_queue.Size() > 0) {
     return true;
   }
-  const auto shortest = m_core.m_view.ShortestQueue(aFleet, base::MonotonicNow());
+  const auto shortest = m_core.m_view.ShortestQueueWait(aFleet, base::MonotonicNow());
   return shortest && *shortest > m_core.m_options.m_holdAbove;
 }
 
-std::uint64_t FleetQueues::Hold(const std::string& aFleet,
-                                const std::string& aAccount,
-                                double aWeight,
-                                double aEngineSeconds,
-                                std::function<void()> aResume)
+std::uint64_t FleetQueues::Enqueue(const std::string& aFleet,
+                                   const std::string& aAccount,
+                                   double aWeight,
+                                   double aEngineSeconds,
+                                   std::function<void()> aResume)
 {
   Queue& queue = m_queues.try_emplace(aFleet, m_core.m_options.m_queueCapacity).first->second;
-  const std::uint64_t number = ++m_numbers;
-  if (!queue.m_queue.Push(aAccount, aWeight, { number, aEngineSeconds })) {
+  const std::uint64_t id = ++m_lastId;
+  if (!queue.m_queue.Push(aAccount, aWeight, { id, aEngineSeconds })) {
     return 0;
   }
-  queue.m_resume.emplace(number, std::move(aResume));
-  return number;
+  queue.m_resume.emplace(id, std::move(aResume));
+  return id;
 }
 
-void FleetQueues::Drop(const std::string& aFleet, std::uint64_t aNumber)
+void FleetQueues::Dequeue(const std::string& aFleet, std::uint64_t aId)
 {
   const auto queue = m_queues.find(aFleet);
   if (queue != m_queues.end()) {
-    queue->second.m_queue.Remove(aNumber);
-    queue->second.m_resume.erase(aNumber);
+    queue->second.m_queue.Remove(aId);
+    queue->second.m_resume.erase(aId);
   }
 }
 
-base::Duration FleetQueues::ExpectedDrain(const std::string& aFleet, std::size_t aWorkers) const
+base::Duration FleetQueues::ExpectedWait(const std::string& aFleet, std::size_t aWorkers) const
 {
   const auto queue = m_queues.find(aFleet);
   if (queue == m_queues.end()) {
@@ -60,17 +60,17 @@
                            static_cast<double>(std::max<std::size_t>(1, aWorkers)));
 }
 
-void FleetQueues::Pump()
+void FleetQueues::Dispatch()
 {
   for (auto& [fleet, queue] : m_queues) {
-    PumpFleet(fleet, queue);
+    DispatchFleet(fleet, queue);
   }
 }
 
-void FleetQueues::PumpFleet(const std::string& aFleet, Queue& aQueue)
+void FleetQueues::DispatchFleet(const std::string& aFleet, Queue& aQueue)
 {
   while (aQueue.m_queue.Size() > 0) {
-    const auto shortest = m_core.m_view.ShortestQueue(aFleet, base::MonotonicNow());
+    const auto shortest = m_core.m_view.ShortestQueueWait(aFleet, base::MonotonicNow());
     if (shortest && *shortest > m_core.m_options.m_holdAbove) {
       return;
     }
--- a/src/ferrytray/gate/fleet_view.cpp
+++ b/src/ferrytray/gate/fleet_view.cpp
@@ -11,12 +11,12 @@
 
 constexpr std::size_t kHomeWorkers = 2;
 constexpr std::size_t kHomeStores = 2;
-constexpr base::Duration kPassOverFailed = std::chrono::seconds(1);
-constexpr base::Duration kSentMemory = std::chrono::seconds(30);
-constexpr base::Duration kZonePath = std::chrono::microseconds(500);
-constexpr base::Duration kOtherZonePath = std::chrono::milliseconds(2);
-constexpr double kUnknownSpeed = 10000; // tokens a second, until the first report
-constexpr base::Duration kTrust = std::chrono::seconds(10);
+constexpr base::Duration kFailureCooldown = std::chrono::seconds(1);
+constexpr base::Duration kWorkHistory = std::chrono::seconds(30);
+constexpr base::Duration kSameZoneLatency = std::chrono::microseconds(500);
+constexpr base::Duration kCrossZoneLatency = std::chrono::milliseconds(2);
+constexpr double kDefaultTokensPerSecond = 10000; // tokens a second, until the first report
+constexpr base::Duration kMaxReportAge = std::chrono::seconds(10);
 
 } // namespace
 
@@ -28,24 +28,24 @@
 
 void FleetView::OnEndpoints(std::vector<wire::EndpointStatus> aEndpoints, base::TimePoint aNow)
 {
-  std::map<std::string, std::string> current;
+  std::map<std::string, std::string> currentIncarnations;
   for (const wire::EndpointStatus& endpoint : aEndpoints) {
     const std::string& name = endpoint.m_host.m_name;
-    current[name] = endpoint.m_host.m_incarnation;
+    currentIncarnations[name] = endpoint.m_host.m_incarnation;
     if (endpoint.m_host.m_leaving) {
       m_leaving.Add(name, endpoint.m_host.m_incarnation);
     }
     // A swap or a new process empties the worker's cache.
     const std::string running = endpoint.m_host.m_incarnation + "@" + endpoint.m_load.m_version;
-    std::string& before = m_runVersions[name];
+    std::string& before = m_runningVersions[name];
     if (before != running) {
       m_hints.Forget(name);
       before = running;
     }
   }
-  m_leaving.Prune(current);
+  m_leaving.Prune(currentIncarnations);
   m_endpoints = std::move(aEndpoints);
-  m_updated = aNow;
+  m_updatedAt = aNow;
   // Before any load is known every estimate would be a guess.
   const bool anyReport =
     std::any_of(m_endpoints.begin(), m_endpoints.end(), [](const auto& aEndpoint) {
@@ -56,29 +56,30 @@
     std::any_of(m_endpoints.begin(), m_endpoints.end(), [](const auto& aEndpoint) {
       return aEndpoint.m_host.m_role == wire::Role::Engine;
     });
-  m_known = m_known || anyReport || (!anyEngine && !m_endpoints.empty());
+  m_ready = m_ready || anyReport || (!anyEngine && !m_endpoints.empty());
 }
 
 void FleetView::OnSent(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow)
 {
-  std::deque<Sent>& sent = m_sent[aWorker];
+  std::deque<SentWork>& sent = m_sentWork[aWorker];
   sent.push_back({ aNow, aEngineTime });
-  while (!sent.empty() && aNow - sent.front().m_at > kSentMemory) {
+  while (!sent.empty() && aNow - sent.front().m_at > kWorkHistory) {
     sent.pop_front();
   }
 }
 
-void FleetView::OnAnswered(const std::string& aWorker,
+void FleetView::OnWorkDone(const std::string& aWorker,
                            base::Duration aEngineTime,
                            base::TimePoint aNow)
 {
-  std::deque<Sent>& sent = m_sent[aWorker];
-  const auto done = std::find_if(
-    sent.begin(), sent.end(), [&](const Sent& aSent) { return aSent.m_engineTime == aEngineTime; });
+  std::deque<SentWork>& sent = m_sentWork[aWorker];
+  const auto done = std::find_if(sent.begin(), sent.end(), [&](const SentWork& aSent) {
+    return aSent.m_engineTime == aEngineTime;
+  });
   if (done != sent.end()) {
-    std::deque<Answered>& answered = m_answered[aWorker];
+    std::deque<CompletedWork>& answered = m_completedWork[aWorker];
     answered.push_back({ done->m_at, aNow, aEngineTime });
-    while (aNow - answered.front().m_at > kSentMemory) {
+    while (aNow - answered.front().m_at > kWorkHistory) {
       answered.pop_front();
     }
     sent.erase(done);
@@ -87,7 +88,7 @@
 
 void FleetView::OnFailure(const std::string& aEndpoint, base::TimePoint aNow)
 {
-  m_failedUntil[aEndpoint] = aNow + kPassOverFailed;
+  m_cooldownUntil[aEndpoint] = aNow + kFailureCooldown;
 }
 
 void FleetView::MarkLeaving(const std::string& aEndpoint)
@@ -107,11 +108,11 @@
   }
 }
 
-bool FleetView::Usable(const wire::EndpointStatus& aEndpoint, base::TimePoint aNow) const
+bool FleetView::IsUsable(const wire::EndpointStatus& aEndpoint, base::TimePoint aNow) const
 {
-  const auto failed = m_failedUntil.find(aEndpoint.m_host.m_name);
-  const bool passedOver = failed != m_failedUntil.end() && aNow < failed->second;
-  return !passedOver &&
+  const auto failed = m_cooldownUntil.find(aEndpoint.m_host.m_name);
+  const bool inCooldown = failed != m_cooldownUntil.end() && aNow < failed->second;
+  return !inCooldown &&
          !m_leaving.Contains(aEndpoint.m_host.m_name, aEndpoint.m_host.m_incarnation);
 }
 
@@ -119,25 +120,26 @@
                                       base::TimePoint aNow) const
 {
   routing::WorkerView view;
-  const base::Duration sinceUpdate = aNow - m_updated;
+  const base::Duration sinceUpdate = aNow - m_updatedAt;
   view.m_reportAge = std::chrono::milliseconds(aEndpoint.m_reportAgeMillis) + sinceUpdate;
   view.m_reportedWait = std::chrono::milliseconds(aEndpoint.m_load.m_queuedMillis);
-  view.m_tokensPerSecond =
-    aEndpoint.m_load.m_tokensPerSecond > 0 ? aEndpoint.m_load.m_tokensPerSecond : kUnknownSpeed;
-  view.m_path = aEndpoint.m_host.m_zone == m_zone ? kZonePath : kOtherZonePath;
-  view.m_usable = Usable(aEndpoint, aNow);
+  view.m_tokensPerSecond = aEndpoint.m_load.m_tokensPerSecond > 0
+                             ? aEndpoint.m_load.m_tokensPerSecond
+                             : kDefaultTokensPerSecond;
+  view.m_path = aEndpoint.m_host.m_zone == m_zone ? kSameZoneLatency : kCrossZoneLatency;
+  view.m_usable = IsUsable(aEndpoint, aNow);
   const base::TimePoint reportedAt = aNow - view.m_reportAge;
-  const auto sent = m_sent.find(aEndpoint.m_host.m_name);
-  if (sent != m_sent.end()) {
-    for (const Sent& work : sent->second) {
+  const auto sent = m_sentWork.find(aEndpoint.m_host.m_name);
+  if (sent != m_sentWork.end()) {
+    for (const SentWork& work : sent->second) {
       if (work.m_at > reportedAt) {
         view.m_sentSince += work.m_engineTime;
       }
     }
   }
-  const auto answered = m_answered.find(aEndpoint.m_host.m_name);
-  if (answered != m_answered.end()) {
-    for (const Answered& work : answered->second) {
+  const auto answered = m_completedWork.find(aEndpoint.m_host.m_name);
+  if (answered != m_completedWork.end()) {
+    for (const CompletedWork& work : answered->second) {
       if (work.m_sentAt <= reportedAt && work.m_at > reportedAt) {
         view.m_answeredSince += work.m_engineTime;
       }
@@ -160,11 +162,11 @@
       continue;
     }
     Candidate candidate{ &endpoint, ViewOf(endpoint, aNow) };
-    const bool runsAnother =
+    const bool runsOtherVersion =
       !endpoint.m_load.m_version.empty() && endpoint.m_load.m_version != aFleet.m_version;
     // A worker of another version would refuse; it is swapped by the keepers, not by requests.
     candidate.m_view.m_usable =
-      candidate.m_view.m_usable && !runsAnother && !endpoint.m_load.m_swapping;
+      candidate.m_view.m_usable && !runsOtherVersion && !endpoint.m_load.m_swapping;
     candidate.m_view.m_cachedBlocks = m_hints.CachedPrefix(endpoint.m_host.m_name, aBlocks);
     candidates.push_back(candidate);
     names.push_back(endpoint.m_host.m_name);
@@ -173,13 +175,13 @@
     return candidates;
   }
   const auto homes = routing::RendezvousHomes(aBlocks.front(), names, kHomeWorkers);
-  std::size_t place = 0;
+  std::size_t position = 0;
   for (const std::size_t home : homes) {
     const auto found =
       std::find_if(candidates.begin(), candidates.end(), [&](const Candidate& aCandidate) {
         return aCandidate.m_endpoint->m_host.m_name == names[home];
       });
-    std::swap(candidates[place++], *found);
+    std::swap(candidates[position++], *found);
   }
   return candidates;
 }
@@ -189,20 +191,20 @@
                                                    base::TimePoint aNow) const
 {
   const wire::EndpointStatus* best = nullptr;
-  int fewest = 0;
+  int fewestCalls = 0;
   for (const wire::EndpointStatus& endpoint : m_endpoints) {
-    const bool fits =
+    const bool inService =
       endpoint.m_host.m_role == wire::Role::Service && endpoint.m_host.m_pool == aService;
-    if (!fits || aTried.contains(endpoint.m_host.m_name) || !Usable(endpoint, aNow)) {
+    if (!inService || aTried.contains(endpoint.m_host.m_name) || !IsUsable(endpoint, aNow)) {
       continue;
     }
     const auto open = m_openCalls.find(endpoint.m_host.m_name);
     // Another zone's endpoint is worth it only when this zone's are busy.
     const int zonePenalty = endpoint.m_host.m_zone == m_zone ? 0 : 4;
     const int calls = (open == m_openCalls.end() ? 0 : open->second) + zonePenalty;
-    if (best == nullptr || calls < fewest) {
+    if (best == nullptr || calls < fewestCalls) {
       best = &endpoint;
-      fewest = calls;
+      fewestCalls = calls;
     }
   }
   return best;
@@ -233,17 +235,17 @@
   return homes;
 }
 
-std::optional<base::Duration> FleetView::ShortestQueue(const std::string& aFleet,
-                                                       base::TimePoint aNow) const
+std::optional<base::Duration> FleetView::ShortestQueueWait(const std::string& aFleet,
+                                                           base::TimePoint aNow) const
 {
   std::optional<base::Duration> shortest;
   for (const wire::EndpointStatus& endpoint : m_endpoints) {
     const bool inFleet =
       endpoint.m_host.m_role == wire::Role::Engine && endpoint.m_host.m_pool == aFleet;
-    if (!inFleet || !Usable(endpoint, aNow) || endpoint.m_load.m_swapping) {
+    if (!inFleet || !IsUsable(endpoint, aNow) || endpoint.m_load.m_swapping) {
       continue;
     }
-    const base::Duration wait = routing::QueueWait(ViewOf(endpoint, aNow), kTrust);
+    const base::Duration wait = routing::QueueWait(ViewOf(endpoint, aNow), kMaxReportAge);
     shortest = shortest ? std::min(*shortest, wait) : wait;
   }
   return shortest;
--- a/src/ferrytray/gate/gate.cpp
+++ b/src/ferrytray/gate/gate.cpp
@@ -5,14 +5,14 @@
 
 #include <nlohmann/json.hpp> // for json
 
-#include "ferrytray/control/half_rule.hpp"     // for MayServe
-#include "ferrytray/gate/cache_watch.hpp"      // for CacheWatch
-#include "ferrytray/gate/model_exchange.hpp"   // for ModelExchange
-#include "ferrytray/gate/operator_pages.hpp"   // for AnswerOperator
-#include "ferrytray/gate/service_exchange.hpp" // for ServiceExchange
-#include "ferrytray/gate/ticket_handover.hpp"  // for TicketMover
-#include "ferrytray/telemetry/log_line.hpp"    // for LogLine
-#include "ferrytray/wire/half_view.hpp"        // for HalfViewOf
+#include "ferrytray/control/half_rule.hpp"       // for MayServe
+#include "ferrytray/gate/cache_event_poller.hpp" // for CacheWatch
+#include "ferrytray/gate/model_exchange.hpp"     // for ModelExchange
+#include "ferrytray/gate/operator_requests.hpp"  // for AnswerOperator
+#include "ferrytray/gate/service_exchange.hpp"   // for ServiceExchange
+#include "ferrytray/gate/ticket_transfer.hpp"    // for TicketMover
+#include "ferrytray/telemetry/log_line.hpp"      // for LogLine
+#include "ferrytray/wire/half_view.hpp"          // for HalfViewOf
 
 namespace ferrytray::gate {
 
@@ -26,26 +26,26 @@
 constexpr base::Duration kDrainPoll = std::chrono::milliseconds(20);
 constexpr std::size_t kMaxRequestId = 64;
 // What the server reads before it gives up without an answer; under it the answer is numbered.
-constexpr std::size_t kReadFactor = 4;
+constexpr std::size_t kServerBodyLimitFactor = 4;
 
 /// The caller's X-Request-Id if it is a plain word, else a new one.
 std::string RequestIdOf(const HttpRequest& aRequest)
 {
   const std::string_view given = aRequest.Header("X-Request-Id");
-  const bool plain = std::all_of(given.begin(), given.end(), [](unsigned char aByte) {
+  const bool wellFormed = std::all_of(given.begin(), given.end(), [](unsigned char aByte) {
     return std::isalnum(aByte) != 0 || aByte == '-' || aByte == '_';
   });
   const bool fits = !given.empty() && given.size() <= kMaxRequestId;
-  return plain && fits ? std::string(given) : base::RandomHex128();
+  return wellFormed && fits ? std::string(given) : base::RandomHex128();
 }
 
-std::optional<AnswerShape> ShapeOf(const std::string& aPath)
+std::optional<CompletionKind> CompletionKindOf(const std::string& aPath)
 {
   if (aPath == "/v1/completions") {
-    return AnswerShape::Completion;
+    return CompletionKind::Completion;
   }
   if (aPath == "/v1/chat/completions") {
-    return AnswerShape::Chat;
+    return CompletionKind::Chat;
   }
   return std::nullopt;
 }
@@ -57,8 +57,8 @@
     : m_core(aLoop, aOptions)
     , m_queues(m_core)
     , m_exporter(m_core)
-    , m_cacheWatch(m_core)
-    , m_mover(m_core)
+    , m_cacheEventPoller(m_core)
+    , m_ticketTransfer(m_core)
   {
   }
 
@@ -66,7 +66,7 @@
   {
     net::HttpServerOptions options;
     options.m_listen = m_core.m_options.m_listen;
-    options.m_maxBodyBytes = m_core.m_options.m_maxBodyBytes * kReadFactor;
+    options.m_maxBodyBytes = m_core.m_options.m_maxBodyBytes * kServerBodyLimitFactor;
     auto server = net::HttpServer::Create(
       m_core.m_loop, options, [this](HttpRequest aRequest, ReplyPtr aReply) {
         OnRequest(aRequest, aReply);
@@ -75,12 +75,12 @@
       return tl::unexpected(server.error());
     }
     m_server = std::move(*server);
-    return m_mover.Listen();
+    return m_ticketTransfer.Listen();
   }
 
   void Start()
   {
-    KeeperLink::Handlers handlers;
+    KeeperConnection::Handlers handlers;
     handlers.m_onDocument = [this](const config::Document& aDocument) { OnDocument(aDocument); };
     handlers.m_onEndpoints = [this](const wire::EndpointUpdate& aUpdate) {
       m_core.m_view.OnEndpoints(aUpdate.m_endpoints, base::MonotonicNow());
@@ -88,13 +88,13 @@
     handlers.m_onShares = [this](const wire::ShareUpdate& aUpdate) { OnShares(aUpdate); };
     handlers.m_makeReport = [this] { return MakeReport(); };
     m_core.m_keeper =
-      std::make_unique<KeeperLink>(m_core.m_loop, m_core.m_options, std::move(handlers));
+      std::make_unique<KeeperConnection>(m_core.m_loop, m_core.m_options, std::move(handlers));
     m_core.m_keeper->Start();
     m_core.m_claims.Start();
     m_core.m_crashes.Start();
     m_queues.Start();
-    m_cacheWatch.Start();
-    m_expiry = m_core.m_loop.Every(kSecond, [this] { OnSecond(); });
+    m_cacheEventPoller.Start();
+    m_periodicTimer = m_core.m_loop.Every(kSecond, [this] { RunPeriodicTasks(); });
   }
 
   [[nodiscard]] net::Address ListenAddress() const override { return m_server->ListenAddress(); }
@@ -114,11 +114,11 @@
   void WaitForStreams()
   {
     m_drainTimer = m_core.m_loop.Every(kDrainPoll, [this] {
-      if (m_core.m_openWork > 0 || m_givingAway) {
+      if (m_core.m_openWork > 0 || m_transferringTickets) {
         return;
       }
-      m_givingAway = true;
-      m_mover.GiveAway([this] {
+      m_transferringTickets = true;
+      m_ticketTransfer.TransferToPeer([this] {
         telemetry::LogLine("drain_ends").Add("open", m_core.m_openWork);
         // Requests that came after the freeze were refused at once; their answers still go out.
         m_drainTimer = m_core.m_loop.After(kSecond, m_drainDone);
@@ -152,7 +152,7 @@
   {
     wire::GateReport report;
     report.m_address = net::ToString(ListenAddress());
-    report.m_control = net::ToString(m_mover.ControlAddress());
+    report.m_control = net::ToString(m_ticketTransfer.ControlAddress());
     report.m_position = m_core.m_keeper->Position();
     report.m_openWork = m_core.m_openWork;
     report.m_tickets = m_core.m_tickets.Incarnations();
@@ -163,14 +163,14 @@
     return report;
   }
 
-  void OnSecond()
+  void RunPeriodicTasks()
   {
     m_core.m_tickets.Expire(base::MonotonicNow());
     // A moving average, so that shares do not jump with every burst.
-    constexpr double kKeep = 0.7;
+    constexpr double kSmoothing = 0.7;
     for (auto it = m_demand.begin(); it != m_demand.end();) {
-      const auto asked = static_cast<double>(m_core.m_limiter.TakeDemand(it->first));
-      it->second = it->second * kKeep + asked * (1 - kKeep);
+      const auto demand = static_cast<double>(m_core.m_limiter.TakeDemand(it->first));
+      it->second = it->second * kSmoothing + demand * (1 - kSmoothing);
       it = it->second < 1e-3 ? m_demand.erase(it) : std::next(it);
     }
   }
@@ -179,7 +179,7 @@
 
   void OnRequest(const HttpRequest& aRequest, const ReplyPtr& aReply)
   {
-    if (AnswerOperator(m_core, m_server->Counters(), m_draining, aRequest, aReply)) {
+    if (HandleOperatorRequest(m_core, m_server->Counters(), m_draining, aRequest, aReply)) {
       return;
     }
     const std::string id = RequestIdOf(aRequest);
@@ -187,7 +187,7 @@
     if (!served) {
       m_core.m_metrics.Count("requests_refused_total{code=\"" +
                              std::to_string(static_cast<int>(served.error().m_code)) + "\"}");
-      SendFailure(*aReply, served.error(), id);
+      SendError(*aReply, served.error(), id);
     }
   }
 
@@ -208,30 +208,30 @@
     if (!m_core.m_keeper->HasConfig()) {
       return base::Fail(ErrorCode::NotReady, "no configuration is in force yet");
     }
-    auto terms = ReadTerms(aRequest);
-    if (!terms) {
-      return tl::unexpected(terms.error());
+    auto requestOptions = ParseRequestOptions(aRequest);
+    if (!requestOptions) {
+      return tl::unexpected(requestOptions.error());
     }
     const config::ClientAccount* account =
-      m_core.m_keeper->Registry().AccountByKey(base::Sha256Hex(terms->m_key));
+      m_core.m_keeper->Registry().AccountByKey(base::Sha256Hex(requestOptions->m_apiKey));
     if (account == nullptr) {
-      return Deny(ErrorCode::UnknownKey, "the key belongs to no client account");
+      return RejectUnknown(ErrorCode::UnknownKey, "the key belongs to no client account");
     }
     m_demand.try_emplace(account->m_name, 0);
     if (aRequest.m_path == "/v1/tickets") {
       return IssueTicket(aRequest, aReply, *account);
     }
-    if (const auto shape = ShapeOf(aRequest.m_path)) {
-      return ServeModel(aRequest, aReply, aId, *terms, *account, *shape);
+    if (const auto kind = CompletionKindOf(aRequest.m_path)) {
+      return ServeModel(aRequest, aReply, aId, *requestOptions, *account, *kind);
     }
-    return ServeService(aRequest, aReply, aId, *terms, *account);
+    return ServeService(aRequest, aReply, aId, *requestOptions, *account);
   }
 
   /// What looks unknown may be in a configuration that this gate has not heard of.
-  [[nodiscard]] base::Result<void> Deny(ErrorCode aCode, const std::string& aWhy) const
+  [[nodiscard]] base::Result<void> RejectUnknown(ErrorCode aCode, const std::string& aMessage) const
   {
     if (!m_core.m_keeper->MayBeBehind(base::MonotonicNow())) {
-      return base::Fail(aCode, aWhy);
+      return base::Fail(aCode, aMessage);
     }
     return tl::unexpected(base::Failure{ ErrorCode::NotReady,
                                          "the configuration may be out of date",
@@ -280,7 +280,7 @@
     for (const config::HalfRule* rule : m_core.m_keeper->Registry().Rules()) {
       const std::string owner =
         rule->m_fleet ? "fleet " + *rule->m_fleet : "account " + rule->m_account.value_or("");
-      if (rule->m_owner == config::Owner::HandingOver && !m_core.m_openOf.contains(owner)) {
+      if (rule->m_owner == config::Owner::HandingOver && !m_core.m_openByOwner.contains(owner)) {
         drained.push_back(rule->m_name + "@" + std::to_string(rule->m_epoch));
       }
     }
@@ -290,21 +290,22 @@
   base::Result<void> ServeModel(const HttpRequest& aRequest,
                                 const ReplyPtr& aReply,
                                 const std::string& aId,
-                                const CallerTerms& aTerms,
+                                const RequestOptions& aRequestOptions,
                                 const config::ClientAccount& aAccount,
-                                AnswerShape aShape)
+                                CompletionKind aKind)
   {
     if (aRequest.m_method != "POST") {
       return base::Fail(ErrorCode::MethodNotAllowed, "expected POST");
     }
-    auto model = ReadModelRequest(aShape, aRequest.m_body);
+    auto model = ParseModelRequest(aKind, aRequest.m_body);
     if (!model) {
       return tl::unexpected(model.error());
     }
     const replay::Registry& registry = m_core.m_keeper->Registry();
     const config::Fleet* fleet = registry.FleetByModel(model->m_model);
     if (fleet == nullptr) {
-      return Deny(ErrorCode::UnknownModel, "no fleet serves model '" + model->m_model + "'");
+      return RejectUnknown(ErrorCode::UnknownModel,
+                           "no fleet serves model '" + model->m_model + "'");
     }
     for (const config::HalfRule* rule :
          { registry.RuleForFleet(fleet->m_name), registry.RuleForAccount(aAccount.m_name) }) {
@@ -318,7 +319,7 @@
     if (!admitted) {
       return admitted;
     }
-    ModelCall call{ aId, aRequest, aTerms, std::move(*model), aAccount, *fleet, now };
+    ModelCall call{ aId, aRequest, aRequestOptions, std::move(*model), aAccount, *fleet, now };
     std::make_shared<ModelExchange>(
       m_core, ExchangeServices{ m_queues, m_exporter }, std::move(call), aReply)
       ->Start();
@@ -328,12 +329,12 @@
   base::Result<void> ServeService(const HttpRequest& aRequest,
                                   const ReplyPtr& aReply,
                                   const std::string& aId,
-                                  const CallerTerms& aTerms,
+                                  const RequestOptions& aRequestOptions,
                                   const config::ClientAccount& aAccount)
   {
     const config::Service* service = m_core.m_keeper->Registry().ServiceByPath(aRequest.m_path);
     if (service == nullptr) {
-      return Deny(ErrorCode::UnknownPath, "no service serves this path");
+      return RejectUnknown(ErrorCode::UnknownPath, "no service serves this path");
     }
     const auto owner = CheckOwner(m_core.m_keeper->Registry().RuleForAccount(aAccount.m_name));
     if (!owner) {
@@ -344,23 +345,23 @@
     if (!admitted) {
       return admitted;
     }
-    ServiceCall call{ aId, aRequest, aTerms, aAccount, *service, now };
+    ServiceCall call{ aId, aRequest, aRequestOptions, aAccount, *service, now };
     std::make_shared<ServiceExchange>(m_core, std::move(call), aReply)->Start();
     return {};
   }
 
   GateCore m_core;
   FleetQueues m_queues;
-  Exporter m_exporter;
-  CacheWatch m_cacheWatch;
-  TicketMover m_mover;
+  ContextExporter m_exporter;
+  CacheEventPoller m_cacheEventPoller;
+  TicketTransfer m_ticketTransfer;
   std::unique_ptr<net::HttpServer> m_server;
   std::map<std::string, double> m_demand;
-  net::TimerHandle m_expiry;
+  net::TimerHandle m_periodicTimer;
   net::TimerHandle m_drainTimer;
   std::function<void()> m_drainDone;
   bool m_draining = false;
-  bool m_givingAway = false;
+  bool m_transferringTickets = false;
 };
 
 } // namespace
--- a/src/ferrytray/gate/gate_core.cpp
+++ b/src/ferrytray/gate/gate_core.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr std::size_t kHintBlocksPerWorker = 2048; // 93 workers of a zone: 21 MB
-constexpr std::size_t kRememberedContexts = 50000;
-constexpr std::size_t kRememberedDecisions = 2000;
+constexpr std::size_t kMaxTrackedContexts = 50000;
+constexpr std::size_t kMaxLoggedDecisions = 2000;
 
 } // namespace
 
@@ -15,29 +15,29 @@
   , m_options(aOptions)
   , m_http(net::HttpClient::Create(aLoop))
   , m_view(aOptions.m_zone, kHintBlocksPerWorker)
-  , m_contexts(kRememberedContexts)
-  , m_decisions(kRememberedDecisions)
+  , m_contexts(kMaxTrackedContexts)
+  , m_decisions(kMaxLoggedDecisions)
   , m_claims(aLoop, *m_http, aOptions)
   , m_crashes(aLoop, *m_http, aOptions)
   , m_tickets(aOptions.m_incarnation)
 {
 }
 
-void GateCore::Begin(const std::vector<std::string>& aOwners)
+void GateCore::AddOpenWork(const std::vector<std::string>& aOwners)
 {
   ++m_openWork;
   for (const std::string& owner : aOwners) {
-    ++m_openOf[owner];
+    ++m_openByOwner[owner];
   }
 }
 
-void GateCore::End(const std::vector<std::string>& aOwners)
+void GateCore::RemoveOpenWork(const std::vector<std::string>& aOwners)
 {
   --m_openWork;
   for (const std::string& owner : aOwners) {
-    const auto found = m_openOf.find(owner);
-    if (found != m_openOf.end() && --found->second == 0) {
-      m_openOf.erase(found);
+    const auto found = m_openByOwner.find(owner);
+    if (found != m_openByOwner.end() && --found->second == 0) {
+      m_openByOwner.erase(found);
     }
   }
 }
--- a/src/ferrytray/gate/keeper_link.cpp
+++ b/src/ferrytray/gate/keeper_connection.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/keeper_link.hpp"
+#include "ferrytray/gate/keeper_connection.hpp"
 
 #include <algorithm> // for find, max
 
@@ -10,32 +10,34 @@
 
 namespace {
 
-constexpr base::Duration kReconnect = std::chrono::milliseconds(250);
-constexpr base::Duration kReportEvery = std::chrono::milliseconds(250);
+constexpr base::Duration kReconnectDelay = std::chrono::milliseconds(250);
+constexpr base::Duration kReportInterval = std::chrono::milliseconds(250);
 /// An answer to an older question tells nothing that is of use: 16 s with one each 250 ms.
-constexpr std::size_t kQuestionsKept = 64;
+constexpr std::size_t kMaxPendingQuestions = 64;
 
 } // namespace
 
-KeeperLink::KeeperLink(net::Loop& aLoop, const GateOptions& aOptions, Handlers aHandlers)
+KeeperConnection::KeeperConnection(net::Loop& aLoop,
+                                   const GateOptions& aOptions,
+                                   Handlers aHandlers)
   : m_loop(aLoop)
   , m_options(aOptions)
   , m_handlers(std::move(aHandlers))
 {
 }
 
-void KeeperLink::Start()
+void KeeperConnection::Start()
 {
   Connect();
-  m_reports = m_loop.Every(kReportEvery, [this] { ReportNow(); });
+  m_reportTimer = m_loop.Every(kReportInterval, [this] { ReportNow(); });
 }
 
-void KeeperLink::Connect()
+void KeeperConnection::Connect()
 {
   net::ConnectFrames(
     m_loop, m_options.m_keeper, [this](std::shared_ptr<net::FrameChannel> aChannel) {
       if (!aChannel) {
-        m_retry = m_loop.After(kReconnect, [this] { Connect(); });
+        m_reconnectTimer = m_loop.After(kReconnectDelay, [this] { Connect(); });
         return;
       }
       telemetry::LogLine("keeper_connected").Add("position", m_position);
@@ -44,46 +46,48 @@
       aChannel->OnClosed([this] {
         telemetry::LogLine("keeper_lost").Add("position", m_position);
         m_channel = nullptr;
-        m_retry = m_loop.After(kReconnect, [this] { Connect(); });
+        m_reconnectTimer = m_loop.After(kReconnectDelay, [this] { Connect(); });
       });
       aChannel->Send(wire::EncodeFrame(wire::Hello{ m_options.m_host, true, m_position }));
       ReportNow();
     });
 }
 
-void KeeperLink::ReportNow()
+void KeeperConnection::ReportNow()
 {
   if (m_channel) {
     m_channel->Send(wire::EncodeFrame(m_handlers.m_makeReport()));
-    AskAge();
+    RequestConfigAge();
   }
 }
 
-void KeeperLink::AskAge()
+void KeeperConnection::RequestConfigAge()
 {
-  m_askedAt.push_front(base::MonotonicNow());
-  if (m_askedAt.size() > kQuestionsKept) {
-    m_askedAt.pop_back();
+  m_questionSentAt.push_front(base::MonotonicNow());
+  if (m_questionSentAt.size() > kMaxPendingQuestions) {
+    m_questionSentAt.pop_back();
   }
-  m_channel->Send(wire::EncodeFrame(wire::ConfigurationAgeQuestion{ ++m_asked }));
+  m_channel->Send(wire::EncodeFrame(wire::ConfigurationAgeQuestion{ ++m_lastQuestion }));
 }
 
-void KeeperLink::Handle(const wire::ConfigurationAge& aAge)
+void KeeperConnection::Handle(const wire::ConfigurationAge& aAge)
 {
-  const std::uint64_t since = m_asked - aAge.m_question;
-  if (aAge.m_question > m_asked || since >= m_askedAt.size()) {
+  const std::uint64_t since = m_lastQuestion - aAge.m_question;
+  if (aAge.m_question > m_lastQuestion || since >= m_questionSentAt.size()) {
     return; // in answer to one that was sent too long ago
   }
-  const base::TimePoint heardAt = m_askedAt[since] - std::chrono::milliseconds(aAge.m_ageMillis);
-  m_heardAt = std::max(m_heardAt.value_or(heardAt), heardAt);
+  const base::TimePoint configKnownAt =
+    m_questionSentAt[since] - std::chrono::milliseconds(aAge.m_ageMillis);
+  m_configKnownAt = std::max(m_configKnownAt.value_or(configKnownAt), configKnownAt);
 }
 
-bool KeeperLink::MayBeBehind(base::TimePoint aNow) const
+bool KeeperConnection::MayBeBehind(base::TimePoint aNow) const
 {
-  return base::MayBeBehind(m_heardAt, base::DeniesWithin(m_options.m_configurationDue), aNow);
+  return base::MayBeBehind(
+    m_configKnownAt, base::DeniesWithin(m_options.m_maxConfigurationDelay), aNow);
 }
 
-void KeeperLink::OnFrame(std::string_view aBytes)
+void KeeperConnection::OnFrame(std::string_view aBytes)
 {
   const auto frame = wire::DecodeFrame(aBytes);
   if (frame) {
@@ -91,7 +95,7 @@
   }
 }
 
-void KeeperLink::Handle(const wire::StateUpdate& aUpdate)
+void KeeperConnection::Handle(const wire::StateUpdate& aUpdate)
 {
   for (const replay::ScopeState& scope : aUpdate.m_scopes) {
     std::uint64_t& accepted = m_accepted[scope.m_scope];
@@ -116,53 +120,53 @@
   ReportNow();
 }
 
-void KeeperLink::Handle(const wire::EndpointUpdate& aUpdate)
+void KeeperConnection::Handle(const wire::EndpointUpdate& aUpdate)
 {
   m_handlers.m_onEndpoints(aUpdate);
 }
 
-void KeeperLink::Handle(const wire::PeerUpdate& aUpdate)
+void KeeperConnection::Handle(const wire::PeerUpdate& aUpdate)
 {
   m_members = aUpdate.m_members;
 }
 
-void KeeperLink::Handle(const wire::ShareUpdate& aUpdate)
+void KeeperConnection::Handle(const wire::ShareUpdate& aUpdate)
 {
   m_handlers.m_onShares(aUpdate);
 }
 
-void KeeperLink::Handle(const wire::HalfUpdate& aUpdate)
+void KeeperConnection::Handle(const wire::HalfUpdate& aUpdate)
 {
-  m_halvesKnown = true;
-  for (const wire::HalfEpochs& told : aUpdate.m_rules) {
-    wire::HalfEpochs& epochs = m_epochs[told.m_rule];
-    epochs.m_rule = told.m_rule;
-    epochs.m_given = std::max(epochs.m_given, told.m_given);
-    epochs.m_received = std::max(epochs.m_received, told.m_received);
+  m_epochsKnown = true;
+  for (const wire::HalfEpochs& reported : aUpdate.m_rules) {
+    wire::HalfEpochs& epochs = m_epochs[reported.m_rule];
+    epochs.m_rule = reported.m_rule;
+    epochs.m_given = std::max(epochs.m_given, reported.m_given);
+    epochs.m_received = std::max(epochs.m_received, reported.m_received);
   }
 }
 
-std::optional<wire::HalfEpochs> KeeperLink::Epochs(const std::string& aRule) const
+std::optional<wire::HalfEpochs> KeeperConnection::Epochs(const std::string& aRule) const
 {
-  if (!m_halvesKnown) {
+  if (!m_epochsKnown) {
     return std::nullopt;
   }
   const auto found = m_epochs.find(aRule);
   return found == m_epochs.end() ? wire::HalfEpochs{ aRule, 0, 0 } : found->second;
 }
 
-const membership::Member* KeeperLink::TicketHome(const std::string& aIncarnation) const
+const membership::Member* KeeperConnection::FindTicketHolder(const std::string& aIncarnation) const
 {
-  const membership::Member* home = nullptr;
+  const membership::Member* holder = nullptr;
   for (const membership::Member& member : m_members) {
     const bool has = std::find(member.m_tickets.begin(), member.m_tickets.end(), aIncarnation) !=
                      member.m_tickets.end();
-    const bool better = home == nullptr || member.m_state == membership::MemberState::Alive;
+    const bool better = holder == nullptr || member.m_state == membership::MemberState::Alive;
     if (has && better && !member.m_gate.empty()) {
-      home = &member;
+      holder = &member;
     }
   }
-  return home;
+  return holder;
 }
 
 } // namespace ferrytray::gate
--- a/src/ferrytray/gate/model_exchange.cpp
+++ b/src/ferrytray/gate/model_exchange.cpp
@@ -4,9 +4,9 @@
 
 #include <nlohmann/json.hpp> // for json
 
-#include "ferrytray/blocks/chain.hpp"      // for ChainBlocks
-#include "ferrytray/gate/pass_through.hpp" // for PassToGate
-#include "ferrytray/limits/admission.hpp"  // for CheckDeadline
+#include "ferrytray/blocks/chain.hpp"            // for ChainBlocks
+#include "ferrytray/gate/request_forwarding.hpp" // for PassToGate
+#include "ferrytray/limits/admission.hpp"        // for CheckDeadline
 
 namespace ferrytray::gate {
 
@@ -30,7 +30,7 @@
   , m_call(std::move(aCall))
   , m_answer(std::move(aReply),
              { m_call.m_request, m_call.m_model.m_model },
-             m_call.m_model.m_shape,
+             m_call.m_model.m_kind,
              m_call.m_model.m_stream)
 {
 }
@@ -43,44 +43,44 @@
 void ModelExchange::Start()
 {
   m_open = true;
-  m_key = quarantine::KeyOf({ m_call.m_account.m_name,
-                              m_call.m_http.m_method,
-                              "",
-                              m_call.m_http.m_target,
-                              m_call.m_http.m_body });
-  m_core.Begin({ "fleet " + m_call.m_fleet.m_name, "account " + m_call.m_account.m_name });
+  m_requestKey = quarantine::KeyOf({ m_call.m_account.m_name,
+                                     m_call.m_http.m_method,
+                                     "",
+                                     m_call.m_http.m_target,
+                                     m_call.m_http.m_body });
+  m_core.AddOpenWork({ "fleet " + m_call.m_fleet.m_name, "account " + m_call.m_account.m_name });
   const base::Duration deadline =
-    m_call.m_terms.m_deadline.value_or(m_core.m_options.m_defaultDeadline);
-  m_deadline = m_call.m_arrival + std::min(deadline, m_core.m_options.m_longestDeadline);
+    m_call.m_requestOptions.m_deadline.value_or(m_core.m_options.m_defaultDeadline);
+  m_deadline = m_call.m_arrival + std::min(deadline, m_core.m_options.m_maxDeadline);
   m_guard = std::make_shared<OnceGuard>(
-    m_core, m_call.m_terms, m_call.m_account.m_name, ContentDigest(m_call.m_http));
+    m_core, m_call.m_requestOptions, m_call.m_account.m_name, ContentDigest(m_call.m_http));
   const std::weak_ptr<ModelExchange> weak = weak_from_this();
   m_answer.OnClosed([weak] {
     if (const auto self = weak.lock()) {
-      self->OnCallerGone();
+      self->OnCallerDisconnected();
     }
   });
   const auto self = shared_from_this();
-  m_guard->Begin([self](const OnceVerdict& aVerdict) { self->OnVerdict(aVerdict); });
+  m_guard->Begin([self](const OnceDecision& aDecision) { self->OnDecision(aDecision); });
 }
 
-void ModelExchange::OnVerdict(const OnceVerdict& aVerdict)
+void ModelExchange::OnDecision(const OnceDecision& aDecision)
 {
-  if (std::holds_alternative<RunHere>(aVerdict)) {
-    BeginRun();
+  if (std::holds_alternative<RunLocally>(aDecision)) {
+    BeginRouting();
     return;
   }
   EndWork();
-  if (const auto* replay = std::get_if<ReplayAnswer>(&aVerdict)) {
+  if (const auto* replay = std::get_if<ReplayResponse>(&aDecision)) {
     m_answer.Replay(replay->m_answer);
-  } else if (const auto* passOn = std::get_if<PassOn>(&aVerdict)) {
-    PassToGate(m_core, passOn->m_address, m_call.m_http, m_call.m_request, m_answer.Share());
+  } else if (const auto* forwardTo = std::get_if<ForwardTo>(&aDecision)) {
+    ForwardRequest(m_core, forwardTo->m_address, m_call.m_http, m_call.m_request, m_answer.Reply());
   } else {
-    m_answer.Fail(std::get<base::Failure>(aVerdict));
+    m_answer.Fail(std::get<base::Failure>(aDecision));
   }
 }
 
-void ModelExchange::BeginRun()
+void ModelExchange::BeginRouting()
 {
   const auto self = shared_from_this();
   m_deadlineTimer =
@@ -91,14 +91,14 @@
   m_blocks = blocks::ChainBlocks(
     scope, m_call.m_model.m_prompt, { m_call.m_fleet.m_blockBytes, m_call.m_fleet.m_blockTokens });
   if (m_blocks.empty()) {
-    Decide();
+    Route();
     return;
   }
   m_core.m_contexts.OnRequest(m_call.m_account.m_name, m_blocks.front(), m_call.m_arrival);
-  LookupStores(m_core, m_blocks, [self](const StoreFound& aFound) {
-    self->m_store = aFound;
+  LookupStores(m_core, m_blocks, [self](const StoreLookupResult& aLookup) {
+    self->m_store = aLookup;
     if (self->m_open) {
-      self->Decide();
+      self->Route();
     }
   });
 }
@@ -115,34 +115,34 @@
            bytesPerBlock };
 }
 
-bool ModelExchange::HoldIfBusy()
+bool ModelExchange::QueueIfBusy()
 {
-  if (m_wasHeld || !m_services.m_queues.MustHold(m_call.m_fleet.m_name)) {
+  if (m_wasQueued || !m_services.m_queues.MustQueue(m_call.m_fleet.m_name)) {
     return false;
   }
-  m_wasHeld = true;
+  m_wasQueued = true;
   const auto self = shared_from_this();
   const double seconds = std::max(1.0, static_cast<double>(Shape().m_promptTokens)) / 10000;
-  m_held = m_services.m_queues.Hold(
+  m_queuedId = m_services.m_queues.Enqueue(
     m_call.m_fleet.m_name, m_call.m_account.m_name, m_call.m_account.m_weight, seconds, [self] {
-      self->m_held = 0;
-      self->Decide();
+      self->m_queuedId = 0;
+      self->Route();
     });
-  if (m_held == 0) {
-    Fail(ErrorCode::QueueFull, "too many requests wait already", kComeBack);
+  if (m_queuedId == 0) {
+    Fail(ErrorCode::QueueFull, "too many requests wait already", kRetryAfter);
   }
   return true;
 }
 
-void ModelExchange::Decide()
+void ModelExchange::Route()
 {
   if (!m_open) {
     return;
   }
-  if (m_core.m_crashes.IsQuarantined(m_key)) {
+  if (m_core.m_crashes.IsQuarantined(m_requestKey)) {
     Fail(ErrorCode::RequestQuarantined,
          "requests like this one end the endpoints that run them",
-         kComeBack);
+         kRetryAfter);
     return;
   }
   const base::TimePoint now = base::MonotonicNow();
@@ -158,17 +158,17 @@
   options.m_weights = {
     weights.m_firstToken, weights.m_recompute, weights.m_link, weights.m_target
   };
-  options.m_trust = m_core.m_options.m_loadTrust;
+  options.m_trust = m_core.m_options.m_maxLoadReportAge;
   const std::uint64_t random = base::Hash64(m_call.m_request, std::to_string(m_attempts));
   const auto choice = routing::Choose(Shape(), workers, stores, options, random, plans);
   if (!choice) {
     Record(candidates, plans, "");
     Fail(ErrorCode::NoEndpoint,
          "no worker of fleet '" + m_call.m_fleet.m_name + "' can be used",
-         kComeBack);
+         kRetryAfter);
     return;
   }
-  if (RefuseIfTooLate(choice->m_plan, workers.size()) || HoldIfBusy()) {
+  if (RejectIfTooLate(choice->m_plan, workers.size()) || QueueIfBusy()) {
     return;
   }
   const FleetView::Candidate& chosen = candidates[choice->m_worker];
@@ -176,11 +176,11 @@
   m_worker = chosen.m_endpoint->m_host.m_name;
   m_workerAddress = chosen.m_endpoint->m_host.m_address;
   m_workerIncarnation = chosen.m_endpoint->m_host.m_incarnation;
-  m_workerSpeed = chosen.m_view.m_tokensPerSecond;
-  m_workerCached = chosen.m_view.m_cachedBlocks;
+  m_workerTokensPerSecond = chosen.m_view.m_tokensPerSecond;
+  m_workerCachedBlocks = chosen.m_view.m_cachedBlocks;
   m_core.m_view.OnSent(m_worker, choice->m_plan.m_engineTime, now);
   Record(candidates, plans, m_worker);
-  Restore();
+  RestoreContext();
 }
 
 void ModelExchange::Record(const std::vector<FleetView::Candidate>& aCandidates,
@@ -196,32 +196,32 @@
   m_core.m_decisions.Record(std::move(decision));
 }
 
-bool ModelExchange::RefuseIfTooLate(const routing::Plan& aPlan, std::size_t aWorkers)
+bool ModelExchange::RejectIfTooLate(const routing::Plan& aPlan, std::size_t aWorkers)
 {
-  if (!m_call.m_terms.m_deadline) {
+  if (!m_call.m_requestOptions.m_deadline) {
     return false;
   }
-  const base::Duration drain = m_services.m_queues.ExpectedDrain(m_call.m_fleet.m_name, aWorkers);
-  const base::Duration held = m_wasHeld ? base::Duration::zero() : drain;
-  const limits::AdmissionEstimate view{
-    m_call.m_arrival, m_deadline, aPlan.m_firstToken + held, drain
+  const base::Duration drain = m_services.m_queues.ExpectedWait(m_call.m_fleet.m_name, aWorkers);
+  const base::Duration queueWait = m_wasQueued ? base::Duration::zero() : drain;
+  const limits::AdmissionEstimate estimate{
+    m_call.m_arrival, m_deadline, aPlan.m_firstToken + queueWait, drain
   };
-  const auto verdict = limits::CheckDeadline(view, base::MonotonicNow());
-  if (verdict) {
+  const auto admission = limits::CheckDeadline(estimate, base::MonotonicNow());
+  if (admission) {
     return false;
   }
-  Fail(verdict.error().m_code, verdict.error().m_message, verdict.error().m_retryAfter);
+  Fail(admission.error().m_code, admission.error().m_message, admission.error().m_retryAfter);
   return true;
 }
 
-void ModelExchange::Restore()
+void ModelExchange::RestoreContext()
 {
   if (m_choice.m_plan.m_restoreBlocks == 0) {
-    Run("");
+    StartAttempt("");
     return;
   }
   const ImportRequest import{
-    m_workerAddress, m_store, m_blocks, m_workerCached, m_choice.m_plan.m_restoreBlocks
+    m_workerAddress, m_store, m_blocks, m_workerCachedBlocks, m_choice.m_plan.m_restoreBlocks
   };
   const auto self = shared_from_this();
   ImportBlocks(m_core, import, [self](std::optional<std::string> aImport) {
@@ -231,7 +231,7 @@
     if (aImport) {
       self->m_core.m_metrics.Count("import_link_bytes_total", self->m_choice.m_plan.m_linkBytes);
     }
-    self->Run(aImport.value_or(""));
+    self->StartAttempt(aImport.value_or(""));
   });
 }
 
@@ -264,17 +264,19 @@
   }.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-void ModelExchange::Run(const std::string& aImport)
+void ModelExchange::StartAttempt(const std::string& aImport)
 {
   ++m_attempts;
   m_sentAt = base::MonotonicNow();
-  const std::string attempt = m_core.NextAttempt();
-  const base::Duration left = m_core.m_options.m_longestDeadline;
+  const std::string attempt = m_core.NextAttemptId();
+  const base::Duration timeout = m_core.m_options.m_maxDeadline;
   const auto self = shared_from_this();
   const EngineAttempt::Handlers handlers{ [self](const std::string& aText) { self->OnText(aText); },
-                                          [self](const AttemptEnd& aEnd) { self->OnEnd(aEnd); } };
+                                          [self](const AttemptResult& aResult) {
+                                            self->OnEnd(aResult);
+                                          } };
   const AttemptRequest request{
-    m_workerAddress, attempt, m_call.m_fleet.m_version, EngineBody(attempt, aImport), left
+    m_workerAddress, attempt, m_call.m_fleet.m_version, EngineBody(attempt, aImport), timeout
   };
   m_attempt = std::make_shared<EngineAttempt>(m_core, request, handlers);
   m_attempt->Start();
@@ -284,7 +286,7 @@
 {
   if (!m_answer.HasText()) {
     const double seconds = base::Seconds(base::MonotonicNow() - m_call.m_arrival);
-    m_core.m_view.OnAnswered(m_worker, m_choice.m_plan.m_engineTime, base::MonotonicNow());
+    m_core.m_view.OnWorkDone(m_worker, m_choice.m_plan.m_engineTime, base::MonotonicNow());
     m_core.m_metrics.Observe("first_token_seconds{fleet=\"" + m_call.m_fleet.m_name + "\"}",
                              seconds);
     if (m_call.m_model.m_stream) {
@@ -292,8 +294,8 @@
       m_deadlineTimer.reset();
     }
   }
-  m_answer.Deliver(aText);
-  if (m_answer.UnreadBytes() > m_core.m_options.m_maxSlowCallerBytes && !m_guard->KeepsAnswer()) {
+  m_answer.AppendText(aText);
+  if (m_answer.UnsentBytes() > m_core.m_options.m_maxUnsentBytes && !m_guard->StoresResponse()) {
     m_core.m_metrics.Count("slow_callers_dropped_total");
     m_attempt->Cancel();
     m_mayHaveRun = true;
--- a/src/ferrytray/gate/model_exchange_end.cpp
+++ b/src/ferrytray/gate/model_exchange_end.cpp
@@ -11,26 +11,26 @@
 using base::ErrorCode;
 using base::RunState;
 
-void ModelExchange::OnEnd(const AttemptEnd& aEnd)
+void ModelExchange::OnEnd(const AttemptResult& aResult)
 {
   m_attempt.reset();
   if (m_open) {
-    std::visit([this](const auto& aKind) { Handle(aKind); }, aEnd);
+    std::visit([this](const auto& aKind) { Handle(aKind); }, aResult);
   }
 }
 
-void ModelExchange::Handle(const AttemptComplete& aEnd)
+void ModelExchange::Handle(const AttemptComplete& aResult)
 {
-  m_core.m_crashes.OnReply(Life(), m_sentAt);
-  m_core.m_crashes.OnAnswered(m_key);
+  m_core.m_crashes.OnReply(EngineIncarnation(), m_sentAt);
+  m_core.m_crashes.OnCompleteResponse(m_requestKey);
   m_core.m_retries.OnSuccess();
   m_core.m_metrics.Count("requests_total{kind=\"model\",result=\"ok\"}");
-  NoteUsage(aEnd.m_usage);
-  m_guard->Finish(m_answer.Complete(aEnd.m_usage));
+  RecordUsage(aResult.m_usage);
+  m_guard->Finish(m_answer.Complete(aResult.m_usage));
   EndWork();
 }
 
-void ModelExchange::NoteUsage(const Usage& aUsage)
+void ModelExchange::RecordUsage(const TokenUsage& aUsage)
 {
   m_core.m_metrics.Count("prompt_tokens_total{from=\"memory\"}", aUsage.m_cached);
   m_core.m_metrics.Count("prompt_tokens_total{from=\"store\"}", aUsage.m_restored);
@@ -39,57 +39,58 @@
     return;
   }
   const std::uint32_t found = aUsage.m_cached / m_call.m_fleet.m_blockTokens;
-  if (found < m_workerCached) {
+  if (found < m_workerCachedBlocks) {
     m_core.m_view.Hints().OnFound(m_worker, m_blocks, found);
   }
   m_core.m_view.Hints().OnRun(m_worker, m_blocks);
   const routing::RequestShape shape = Shape();
   const double newBlocks = static_cast<double>(
     m_blocks.size() - std::min<std::size_t>(m_blocks.size(), m_store.m_view.m_storedBlocks));
-  m_services.m_exporter.Consider({ m_call.m_request,
-                                   m_call.m_account.m_name,
-                                   m_workerAddress,
-                                   m_store,
-                                   m_blocks,
-                                   newBlocks * shape.m_bytesPerBlock,
-                                   newBlocks * shape.m_tokensPerBlock / m_workerSpeed });
+  m_services.m_exporter.ExportIfWorthwhile(
+    { m_call.m_request,
+      m_call.m_account.m_name,
+      m_workerAddress,
+      m_store,
+      m_blocks,
+      newBlocks * shape.m_bytesPerBlock,
+      newBlocks * shape.m_tokensPerBlock / m_workerTokensPerSecond });
 }
 
-void ModelExchange::Handle(const AttemptNotStarted& aEnd)
+void ModelExchange::Handle(const AttemptNotStarted& aResult)
 {
-  if (aEnd.m_leaving) {
+  if (aResult.m_leaving) {
     m_core.m_view.MarkLeaving(m_worker);
     m_core.m_keeper->ReportNow();
   }
-  if (!TryAgain(RunState::NotRun)) {
-    Fail(ErrorCode::EndpointRefused, "the worker did not start: " + aEnd.m_message, kComeBack);
+  if (!RetryIfAllowed(RunState::NotRun)) {
+    Fail(ErrorCode::EndpointRefused, "the worker did not start: " + aResult.m_message, kRetryAfter);
   }
 }
 
-void ModelExchange::Handle(const AttemptWrongVersion&)
+void ModelExchange::Handle(const AttemptVersionMismatch&)
 {
   m_mayHaveRun = true;
-  if (!TryAgain(RunState::Unknown)) {
+  if (!RetryIfAllowed(RunState::Unknown)) {
     Fail(ErrorCode::VersionMismatch,
          "the worker ran another weight version; its answer was dropped",
-         kComeBack);
+         kRetryAfter);
   }
 }
 
-void ModelExchange::Handle(const AttemptBroken& aEnd)
+void ModelExchange::Handle(const AttemptInterrupted& aResult)
 {
   m_mayHaveRun = true;
-  if (aEnd.m_closed) {
-    m_core.m_crashes.OnBroken(m_key, Life(), m_sentAt);
+  if (aResult.m_connectionClosed) {
+    m_core.m_crashes.OnConnectionLost(m_requestKey, EngineIncarnation(), m_sentAt);
   }
   // Another run may word its answer differently, so text that was delivered cannot be continued.
   const bool delivered = m_answer.HasText();
-  if (delivered || !TryAgain(RunState::Unknown)) {
-    Fail(ErrorCode::EndpointBroke, aEnd.m_message, kComeBack);
+  if (delivered || !RetryIfAllowed(RunState::Unknown)) {
+    Fail(ErrorCode::EndpointBroke, aResult.m_message, kRetryAfter);
   }
 }
 
-bool ModelExchange::TryAgain(RunState aRun)
+bool ModelExchange::RetryIfAllowed(RunState aRun)
 {
   const base::TimePoint now = base::MonotonicNow();
   m_core.m_view.OnFailure(m_worker, now);
@@ -101,13 +102,13 @@
     return false;
   }
   m_core.m_metrics.Count("retries_total");
-  Decide();
+  Route();
   return true;
 }
 
 bool ModelExchange::Idempotent() const
 {
-  return m_call.m_terms.m_idempotent.value_or(!m_guard->KeepsAnswer());
+  return m_call.m_requestOptions.m_idempotent.value_or(!m_guard->StoresResponse());
 }
 
 RunState ModelExchange::RunSoFar() const
@@ -129,9 +130,9 @@
   EndWork();
 }
 
-void ModelExchange::OnCallerGone()
+void ModelExchange::OnCallerDisconnected()
 {
-  if (!m_open || m_guard->KeepsAnswer()) {
+  if (!m_open || m_guard->StoresResponse()) {
     return;
   }
   m_core.m_metrics.Count("callers_gone_total");
@@ -163,10 +164,10 @@
   }
   m_open = false;
   m_deadlineTimer.reset();
-  if (m_held != 0) {
-    m_services.m_queues.Drop(m_call.m_fleet.m_name, m_held);
+  if (m_queuedId != 0) {
+    m_services.m_queues.Dequeue(m_call.m_fleet.m_name, m_queuedId);
   }
-  m_core.End({ "fleet " + m_call.m_fleet.m_name, "account " + m_call.m_account.m_name });
+  m_core.RemoveOpenWork({ "fleet " + m_call.m_fleet.m_name, "account " + m_call.m_account.m_name });
   m_core.m_limiter.Release(m_call.m_account.m_name);
 }
 
--- a/src/ferrytray/gate/once_guard.cpp
+++ b/src/ferrytray/gate/once_guard.cpp
@@ -9,87 +9,90 @@
 using base::ErrorCode;
 using base::RunState;
 
-constexpr base::Duration kComeBack = std::chrono::seconds(1);
+constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
 
-base::Failure Refusal(ErrorCode aCode, RunState aRun, std::string aMessage)
+base::Failure MakeFailure(ErrorCode aCode, RunState aRun, std::string aMessage)
 {
-  return { aCode, std::move(aMessage), aRun, kComeBack };
+  return { aCode, std::move(aMessage), aRun, kRetryAfter };
 }
 
 } // namespace
 
 OnceGuard::OnceGuard(GateCore& aCore,
-                     const CallerTerms& aTerms,
+                     const RequestOptions& aRequestOptions,
                      std::string aAccount,
-                     const base::Digest128& aContent)
+                     const base::Digest128& aContentDigest)
   : m_core(aCore)
-  , m_terms(aTerms)
+  , m_requestOptions(aRequestOptions)
   , m_account(std::move(aAccount))
-  , m_content(aContent)
+  , m_contentDigest(aContentDigest)
 {
 }
 
-void OnceGuard::Begin(std::function<void(const OnceVerdict&)> aOnVerdict)
+void OnceGuard::Begin(std::function<void(const OnceDecision&)> aOnDecision)
 {
-  m_onVerdict = std::move(aOnVerdict);
-  if (m_terms.m_ticket) {
+  m_onDecision = std::move(aOnDecision);
+  if (m_requestOptions.m_ticket) {
     BeginTicket();
-  } else if (m_terms.m_idempotencyKey) {
+  } else if (m_requestOptions.m_idempotencyKey) {
     BeginClaim();
   } else {
-    Tell(RunHere{});
+    Resolve(RunLocally{});
   }
 }
 
-void OnceGuard::Tell(const OnceVerdict& aVerdict)
+void OnceGuard::Resolve(const OnceDecision& aDecision)
 {
   // Taken out first: the call holds the request, which holds this guard.
-  const auto onVerdict = std::exchange(m_onVerdict, nullptr);
-  if (onVerdict) {
-    onVerdict(aVerdict);
+  const auto onDecision = std::exchange(m_onDecision, nullptr);
+  if (onDecision) {
+    onDecision(aDecision);
   }
 }
 
 void OnceGuard::BeginTicket()
 {
-  const once::Redeemed redeemed =
-    m_core.m_tickets.Redeem(*m_terms.m_ticket, m_account, m_content, base::MonotonicNow());
+  const once::Redeemed redeemed = m_core.m_tickets.Redeem(
+    *m_requestOptions.m_ticket, m_account, m_contentDigest, base::MonotonicNow());
   if (std::holds_alternative<once::RedeemRun>(redeemed)) {
-    m_redeemed = true;
-    Tell(RunHere{});
-  } else if (const auto* elsewhere = std::get_if<once::RedeemElsewhere>(&redeemed)) {
-    Tell(VerdictFor(*elsewhere));
+    m_ticketRedeemed = true;
+    Resolve(RunLocally{});
+  } else if (const auto* remoteTicket = std::get_if<once::RedeemElsewhere>(&redeemed)) {
+    Resolve(DecideRemoteTicket(*remoteTicket));
   } else if (const auto* replay = std::get_if<once::RedeemReplay>(&redeemed)) {
-    Tell(ReplayAnswer{ replay->m_answer });
+    Resolve(ReplayResponse{ replay->m_answer });
   } else {
-    Tell(std::get<base::Failure>(redeemed));
+    Resolve(std::get<base::Failure>(redeemed));
   }
 }
 
-OnceVerdict OnceGuard::VerdictFor(const once::RedeemElsewhere& aElsewhere) const
+OnceDecision OnceGuard::DecideRemoteTicket(const once::RedeemElsewhere& aRemoteTicket) const
 {
-  return PassOnTo(aElsewhere.m_incarnation);
+  return ForwardToIncarnation(aRemoteTicket.m_incarnation);
 }
 
-OnceVerdict OnceGuard::PassOnTo(const std::string& aIncarnation) const
+OnceDecision OnceGuard::ForwardToIncarnation(const std::string& aIncarnation) const
 {
   // Only a known member is asked: an address from a caller's token would be a way in.
-  const membership::Member* home = m_core.m_keeper->TicketHome(aIncarnation);
-  const bool canPass =
-    home != nullptr && !m_terms.m_forwarded && home->m_host != m_core.m_options.m_host;
-  if (!canPass) {
-    return Refusal(ErrorCode::TicketUnknown, RunState::Unknown, "the gate that would know is gone");
+  const membership::Member* holder = m_core.m_keeper->FindTicketHolder(aIncarnation);
+  const bool canForward =
+    holder != nullptr && !m_requestOptions.m_forwarded && holder->m_host != m_core.m_options.m_host;
+  if (!canForward) {
+    return MakeFailure(
+      ErrorCode::TicketUnknown, RunState::Unknown, "the gate that would know is gone");
   }
-  return PassOn{ home->m_gate };
+  return ForwardTo{ holder->m_gate };
 }
 
 void OnceGuard::BeginClaim()
 {
-  m_key = once::KeyDigest(m_account, *m_terms.m_idempotencyKey);
+  m_keyDigest = once::KeyDigest(m_account, *m_requestOptions.m_idempotencyKey);
   const auto self = shared_from_this();
-  const base::Digest128 claim = m_core.m_claims.Claim(
-    m_key, m_content, [self](const once::ClaimAction& aAction) { self->OnClaim(aAction); });
-  if (!m_claimEnded) {
+  const base::Digest128 claim =
+    m_core.m_claims.Claim(m_keyDigest, m_contentDigest, [self](const once::ClaimAction& aAction) {
+      self->OnClaim(aAction);
+    });
+  if (!m_claimRejected) {
     m_claim = claim;
   }
 }
@@ -97,67 +100,67 @@
 void OnceGuard::OnClaim(const once::ClaimAction& aAction)
 {
   if (std::holds_alternative<once::ClaimWon>(aAction)) {
-    Tell(RunHere{});
+    Resolve(RunLocally{});
     return;
   }
-  m_claimEnded = true;
+  m_claimRejected = true;
   m_claim.reset();
   if (const auto* lost = std::get_if<once::ClaimLost>(&aAction)) {
-    Tell(VerdictForHolder(lost->m_holder));
+    Resolve(DecideLostClaim(lost->m_holder));
     return;
   }
-  Tell(Refusal(ErrorCode::ClaimLogUnavailable,
-               RunState::NotRun,
-               "the platform's log cannot settle the key now; nothing was run"));
+  Resolve(MakeFailure(ErrorCode::ClaimLogUnavailable,
+                      RunState::NotRun,
+                      "the platform's log cannot settle the key now; nothing was run"));
 }
 
-OnceVerdict OnceGuard::VerdictForHolder(const once::LiveClaim& aHolder) const
+OnceDecision OnceGuard::DecideLostClaim(const once::LiveClaim& aHolder) const
 {
-  if (aHolder.m_claim.m_request != m_content) {
-    return Refusal(ErrorCode::KeyReusedForOtherRequest,
-                   RunState::NotRun,
-                   "the key was used for another request");
+  if (aHolder.m_claim.m_request != m_contentDigest) {
+    return MakeFailure(ErrorCode::KeyReusedForOtherRequest,
+                       RunState::NotRun,
+                       "the key was used for another request");
   }
-  if (const auto kept = m_core.m_claims.KeptAnswer(m_key)) {
-    return ReplayAnswer{ *kept };
+  if (const auto kept = m_core.m_claims.FindResponse(m_keyDigest)) {
+    return ReplayResponse{ *kept };
   }
-  const bool here = aHolder.m_claim.m_holder == m_core.m_options.m_incarnation;
-  if (here && !aHolder.m_done) {
-    return Refusal(ErrorCode::ClaimPending, RunState::Unknown, "the request is being run");
+  const bool heldHere = aHolder.m_claim.m_holder == m_core.m_options.m_incarnation;
+  if (heldHere && !aHolder.m_done) {
+    return MakeFailure(ErrorCode::ClaimPending, RunState::Unknown, "the request is being run");
   }
-  if (here) {
-    return Refusal(ErrorCode::ClaimOutcomeUnknown,
-                   RunState::Unknown,
-                   "the request has ended and its answer is gone");
+  if (heldHere) {
+    return MakeFailure(ErrorCode::ClaimOutcomeUnknown,
+                       RunState::Unknown,
+                       "the request has ended and its answer is gone");
   }
-  const OnceVerdict passOn = PassOnTo(aHolder.m_claim.m_holder);
-  if (std::holds_alternative<PassOn>(passOn)) {
-    return passOn;
+  const OnceDecision forwardTo = ForwardToIncarnation(aHolder.m_claim.m_holder);
+  if (std::holds_alternative<ForwardTo>(forwardTo)) {
+    return forwardTo;
   }
-  return Refusal(
+  return MakeFailure(
     ErrorCode::ClaimOutcomeUnknown, RunState::Unknown, "the gate that ran the request is gone");
 }
 
 void OnceGuard::Finish(const once::KeptAnswer& aAnswer)
 {
-  if (m_redeemed) {
-    m_core.m_tickets.Finish(*m_terms.m_ticket, aAnswer);
+  if (m_ticketRedeemed) {
+    m_core.m_tickets.Finish(*m_requestOptions.m_ticket, aAnswer);
   } else if (m_claim) {
-    m_core.m_claims.Done(*m_claim, m_key, aAnswer);
+    m_core.m_claims.Complete(*m_claim, m_keyDigest, aAnswer);
   }
 }
 
 void OnceGuard::Fail(base::RunState aRun)
 {
   const bool notRun = aRun == RunState::NotRun;
-  if (m_redeemed && notRun) {
-    m_core.m_tickets.GiveBack(*m_terms.m_ticket);
-  } else if (m_redeemed) {
-    m_core.m_tickets.FinishUnknown(*m_terms.m_ticket);
+  if (m_ticketRedeemed && notRun) {
+    m_core.m_tickets.GiveBack(*m_requestOptions.m_ticket);
+  } else if (m_ticketRedeemed) {
+    m_core.m_tickets.FinishUnknown(*m_requestOptions.m_ticket);
   } else if (m_claim && notRun) {
-    m_core.m_claims.NotRun(*m_claim);
+    m_core.m_claims.Release(*m_claim);
   } else if (m_claim) {
-    m_core.m_claims.Done(*m_claim, m_key, std::nullopt);
+    m_core.m_claims.Complete(*m_claim, m_keyDigest, std::nullopt);
   }
 }
 
--- a/src/ferrytray/gate/operator_pages.cpp
+++ b/src/ferrytray/gate/operator_requests.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/operator_pages.hpp"
+#include "ferrytray/gate/operator_requests.hpp"
 
 #include <utility> // for move
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-const std::string kHandover = "/handover/";
-const std::string kExplain = "/explain/";
+const std::string kHandoverPrefix = "/handover/";
+const std::string kExplainPrefix = "/explain/";
 
 bool SendText(net::HttpReply& aReply, int aStatus, std::string aText)
 {
@@ -43,28 +43,28 @@
 
 } // namespace
 
-bool AnswerOperator(GateCore& aCore,
-                    const net::HttpServerCounters& aCounters,
-                    bool aDraining,
-                    const net::HttpRequest& aRequest,
-                    const std::shared_ptr<net::HttpReply>& aReply)
+bool HandleOperatorRequest(GateCore& aCore,
+                           const net::HttpServerCounters& aCounters,
+                           bool aDraining,
+                           const net::HttpRequest& aRequest,
+                           const std::shared_ptr<net::HttpReply>& aReply)
 {
   const std::string& path = aRequest.m_path;
   if (path == "/healthz") {
     return SendText(*aReply, 200, "ok\n");
   }
   if (path == "/readyz") {
-    const bool ready = !aDraining && aCore.m_keeper->HasConfig() && aCore.m_view.Known();
+    const bool ready = !aDraining && aCore.m_keeper->HasConfig() && aCore.m_view.Ready();
     return SendText(*aReply, ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
   }
   if (path == "/metrics") {
     return SendText(*aReply, 200, RenderMetrics(aCore, aCounters));
   }
-  if (path.starts_with(kHandover)) {
-    return SendEpoch(aCore, path.substr(kHandover.size()), *aReply);
+  if (path.starts_with(kHandoverPrefix)) {
+    return SendEpoch(aCore, path.substr(kHandoverPrefix.size()), *aReply);
   }
-  if (path.starts_with(kExplain)) {
-    const std::string found = aCore.m_decisions.Explain(path.substr(kExplain.size()));
+  if (path.starts_with(kExplainPrefix)) {
+    const std::string found = aCore.m_decisions.Explain(path.substr(kExplainPrefix.size()));
     return SendText(*aReply,
                     found.empty() ? 404 : 200,
                     found.empty() ? "no such request is remembered\n" : found);
--- a/src/ferrytray/gate/pass_through.cpp
+++ b/src/ferrytray/gate/request_forwarding.cpp
@@ -1,13 +1,13 @@
-#include "ferrytray/gate/pass_through.hpp"
+#include "ferrytray/gate/request_forwarding.hpp"
 
-#include "ferrytray/gate/answer_format.hpp" // for SendFailure
+#include "ferrytray/gate/response_format.hpp" // for SendFailure
 
 namespace ferrytray::gate {
 
 namespace {
 
 /// One request on its way through this gate to another.
-struct Passing
+struct ForwardedRequest
 {
   std::shared_ptr<net::HttpReply> m_reply;
   std::string m_requestId;
@@ -15,7 +15,7 @@
   bool m_streaming = false;
 };
 
-net::Headers HeadersToPass(const net::HttpRequest& aRequest, const std::string& aRequestId)
+net::Headers ForwardedHeaders(const net::HttpRequest& aRequest, const std::string& aRequestId)
 {
   net::Headers headers{ { "Ferrytray-Forwarded", "true" }, { "X-Request-Id", aRequestId } };
   for (const char* name : { "Authorization",
@@ -32,59 +32,63 @@
   return headers;
 }
 
-void OnPiece(Passing& aPassing, std::string_view aBytes)
+void OnChunk(ForwardedRequest& aForwarded, std::string_view aBytes)
 {
-  if (!aPassing.m_streaming) {
-    aPassing.m_streaming = true;
+  if (!aForwarded.m_streaming) {
+    aForwarded.m_streaming = true;
     const char* type = aBytes.substr(0, 5) == "data:" ? "text/event-stream" : "application/json";
-    aPassing.m_reply->StartStream(
-      aPassing.m_status, { { "Content-Type", type }, { "X-Request-Id", aPassing.m_requestId } });
+    aForwarded.m_reply->StartStream(
+      aForwarded.m_status,
+      { { "Content-Type", type }, { "X-Request-Id", aForwarded.m_requestId } });
   }
-  aPassing.m_reply->Write(std::string(aBytes));
+  aForwarded.m_reply->Write(std::string(aBytes));
 }
 
-void OnPassed(Passing& aPassing, const net::ClientOutcome& aOutcome)
+void OnForwardEnd(ForwardedRequest& aForwarded, const net::ClientOutcome& aOutcome)
 {
-  const bool whole = aOutcome.m_end == net::WireEnd::Complete;
+  const bool complete = aOutcome.m_end == net::WireEnd::Complete;
   // The other gate may have run it before, so even a request that was not sent is not "not run".
   const base::Failure failure{ base::ErrorCode::TicketUnknown,
                                "the gate that would know did not answer",
                                base::RunState::Unknown,
                                {} };
-  if (aPassing.m_streaming) {
-    if (!whole) {
-      aPassing.m_reply->Write(ErrorEvent(failure, aPassing.m_requestId));
+  if (aForwarded.m_streaming) {
+    if (!complete) {
+      aForwarded.m_reply->Write(FormatErrorEvent(failure, aForwarded.m_requestId));
     }
-    aPassing.m_reply->Finish();
-  } else if (whole) {
-    aPassing.m_reply->Send(aPassing.m_status, {}, "");
+    aForwarded.m_reply->Finish();
+  } else if (complete) {
+    aForwarded.m_reply->Send(aForwarded.m_status, {}, "");
   } else {
-    SendFailure(*aPassing.m_reply, failure, aPassing.m_requestId);
+    SendError(*aForwarded.m_reply, failure, aForwarded.m_requestId);
   }
 }
 
 } // namespace
 
-void PassToGate(GateCore& aCore,
-                const std::string& aAddress,
-                const net::HttpRequest& aRequest,
-                const std::string& aRequestId,
-                std::shared_ptr<net::HttpReply> aReply)
+void ForwardRequest(GateCore& aCore,
+                    const std::string& aAddress,
+                    const net::HttpRequest& aRequest,
+                    const std::string& aRequestId,
+                    std::shared_ptr<net::HttpReply> aReply)
 {
   net::ClientRequest request;
   request.m_method = aRequest.m_method;
   request.m_url = "http://" + aAddress + aRequest.m_path +
                   (aRequest.m_query.empty() ? "" : "?" + aRequest.m_query);
-  request.m_headers = HeadersToPass(aRequest, aRequestId);
+  request.m_headers = ForwardedHeaders(aRequest, aRequestId);
   request.m_body = aRequest.m_body;
-  request.m_timeout = aCore.m_options.m_longestDeadline;
+  request.m_timeout = aCore.m_options.m_maxDeadline;
   // The home gate sees to it that nothing runs twice, but a resend would be refused as in use.
   request.m_ownConnection = true;
-  auto passing = std::make_shared<Passing>(Passing{ std::move(aReply), aRequestId });
+  auto forwarded =
+    std::make_shared<ForwardedRequest>(ForwardedRequest{ std::move(aReply), aRequestId });
   net::ClientEvents events;
-  events.m_onStatus = [passing](int aStatus) { passing->m_status = aStatus; };
-  events.m_onData = [passing](std::string_view aBytes) { OnPiece(*passing, aBytes); };
-  events.m_onEnd = [passing](const net::ClientOutcome& aOutcome) { OnPassed(*passing, aOutcome); };
+  events.m_onStatus = [forwarded](int aStatus) { forwarded->m_status = aStatus; };
+  events.m_onData = [forwarded](std::string_view aBytes) { OnChunk(*forwarded, aBytes); };
+  events.m_onEnd = [forwarded](const net::ClientOutcome& aOutcome) {
+    OnForwardEnd(*forwarded, aOutcome);
+  };
   aCore.m_metrics.Count("requests_passed_on_total");
   aCore.m_http->Start(std::move(request), std::move(events));
 }
--- a/src/ferrytray/gate/answer_format.cpp
+++ b/src/ferrytray/gate/response_format.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/answer_format.hpp"
+#include "ferrytray/gate/response_format.hpp"
 
 #include <nlohmann/json.hpp> // for json
 
@@ -30,7 +30,7 @@
   return { { "error", error } };
 }
 
-json UsageObject(const Usage& aUsage)
+json UsageObject(const TokenUsage& aUsage)
 {
   return { { "prompt_tokens", aUsage.m_prompt },
            { "completion_tokens", aUsage.m_completion },
@@ -42,72 +42,76 @@
                { "recomputed_tokens", aUsage.m_recomputed } } } };
 }
 
-json Envelope(AnswerShape aShape, const AnswerNames& aNames, bool aPiece)
+json Envelope(CompletionKind aKind, const ResponseMetadata& aMetadata, bool aChunk)
 {
-  const char* chat = aPiece ? "chat.completion.chunk" : "chat.completion";
-  return { { "id", aNames.m_request },
-           { "object", aShape == AnswerShape::Chat ? chat : "text_completion" },
-           { "model", aNames.m_model } };
+  const char* chat = aChunk ? "chat.completion.chunk" : "chat.completion";
+  return { { "id", aMetadata.m_request },
+           { "object", aKind == CompletionKind::Chat ? chat : "text_completion" },
+           { "model", aMetadata.m_model } };
 }
 
-json Choice(AnswerShape aShape, const std::string& aText, bool aPiece, bool aLast)
+json Choice(CompletionKind aKind, const std::string& aText, bool aChunk, bool aLast)
 {
   json choice{ { "index", 0 }, { "finish_reason", nullptr } };
   if (aLast) {
     choice["finish_reason"] = "length";
   }
-  if (aShape == AnswerShape::Completion) {
+  if (aKind == CompletionKind::Completion) {
     choice["text"] = aText;
   } else {
-    choice[aPiece ? "delta" : "message"] = { { "role", "assistant" }, { "content", aText } };
+    choice[aChunk ? "delta" : "message"] = { { "role", "assistant" }, { "content", aText } };
   }
   return choice;
 }
 
 } // namespace
 
-std::string ErrorBody(const base::Failure& aFailure, const std::string& aRequest)
+std::string FormatErrorBody(const base::Failure& aFailure, const std::string& aRequest)
 {
   return Dump(ErrorObject(aFailure, aRequest));
 }
 
-void SendFailure(net::HttpReply& aReply, const base::Failure& aFailure, const std::string& aRequest)
+void SendError(net::HttpReply& aReply, const base::Failure& aFailure, const std::string& aRequest)
 {
   net::Headers headers{ { "Content-Type", "application/json" }, { "X-Request-Id", aRequest } };
   if (aFailure.m_retryAfter > base::Duration::zero()) {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(aFailure.m_retryAfter).count();
     headers.emplace_back("Retry-After", std::to_string(seconds));
   }
-  aReply.Send(base::HttpStatus(aFailure.m_code), headers, ErrorBody(aFailure, aRequest));
+  aReply.Send(base::HttpStatus(aFailure.m_code), headers, FormatErrorBody(aFailure, aRequest));
 }
 
-std::string WholeAnswer(AnswerShape aShape,
-                        const AnswerNames& aNames,
-                        const std::string& aText,
-                        const Usage& aUsage)
+std::string FormatResponse(CompletionKind aKind,
+                           const ResponseMetadata& aMetadata,
+                           const std::string& aText,
+                           const TokenUsage& aUsage)
 {
-  json answer = Envelope(aShape, aNames, false);
-  answer["choices"] = { Choice(aShape, aText, false, true) };
+  json answer = Envelope(aKind, aMetadata, false);
+  answer["choices"] = { Choice(aKind, aText, false, true) };
   answer["usage"] = UsageObject(aUsage);
   return Dump(answer);
 }
 
-std::string PieceEvent(AnswerShape aShape, const AnswerNames& aNames, const std::string& aText)
+std::string FormatChunkEvent(CompletionKind aKind,
+                             const ResponseMetadata& aMetadata,
+                             const std::string& aText)
 {
-  json piece = Envelope(aShape, aNames, true);
-  piece["choices"] = { Choice(aShape, aText, true, false) };
-  return Event(piece);
+  json chunk = Envelope(aKind, aMetadata, true);
+  chunk["choices"] = { Choice(aKind, aText, true, false) };
+  return Event(chunk);
 }
 
-std::string LastEvents(AnswerShape aShape, const AnswerNames& aNames, const Usage& aUsage)
+std::string FormatFinalEvents(CompletionKind aKind,
+                              const ResponseMetadata& aMetadata,
+                              const TokenUsage& aUsage)
 {
-  json last = Envelope(aShape, aNames, true);
-  last["choices"] = { Choice(aShape, "", true, true) };
+  json last = Envelope(aKind, aMetadata, true);
+  last["choices"] = { Choice(aKind, "", true, true) };
   last["usage"] = UsageObject(aUsage);
   return Event(last) + "data: [DONE]\n\n";
 }
 
-std::string ErrorEvent(const base::Failure& aFailure, const std::string& aRequest)
+std::string FormatErrorEvent(const base::Failure& aFailure, const std::string& aRequest)
 {
   return Event(ErrorObject(aFailure, aRequest));
 }
--- a/src/ferrytray/gate/service_exchange.cpp
+++ b/src/ferrytray/gate/service_exchange.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm> // for min
 
-#include "ferrytray/gate/answer_format.hpp" // for SendFailure
-#include "ferrytray/gate/pass_through.hpp"  // for PassToGate
-#include "ferrytray/telemetry/log_line.hpp" // for LogLine
+#include "ferrytray/gate/request_forwarding.hpp" // for PassToGate
+#include "ferrytray/gate/response_format.hpp"    // for SendFailure
+#include "ferrytray/telemetry/log_line.hpp"      // for LogLine
 
 namespace ferrytray::gate {
 
@@ -14,12 +14,12 @@
 using base::RunState;
 
 constexpr int kUnavailable = 503;
-constexpr int kFirstServerSide = 500;
-constexpr base::Duration kExpectedCall = std::chrono::milliseconds(50);
+constexpr int kFirstServerError = 500;
+constexpr base::Duration kExpectedCallTime = std::chrono::milliseconds(50);
 constexpr base::Duration kConnectTimeout = std::chrono::seconds(1);
 
 /// Whether a plain service said clearly that it did not start.
-bool SaysNotStarted(const net::ClientOutcome& aOutcome, const std::string& aBody)
+bool ReportsNotStarted(const net::ClientOutcome& aOutcome, const std::string& aBody)
 {
   return aOutcome.m_status == kUnavailable &&
          aBody.find("\"x_started\":false") != std::string::npos;
@@ -44,63 +44,63 @@
 void ServiceExchange::Start()
 {
   m_open = true;
-  m_key = quarantine::KeyOf({ m_call.m_account.m_name,
-                              m_call.m_http.m_method,
-                              m_call.m_service.m_name,
-                              m_call.m_http.m_target,
-                              m_call.m_http.m_body });
-  m_core.Begin({ "account " + m_call.m_account.m_name });
+  m_requestKey = quarantine::KeyOf({ m_call.m_account.m_name,
+                                     m_call.m_http.m_method,
+                                     m_call.m_service.m_name,
+                                     m_call.m_http.m_target,
+                                     m_call.m_http.m_body });
+  m_core.AddOpenWork({ "account " + m_call.m_account.m_name });
   const base::Duration deadline =
-    m_call.m_terms.m_deadline.value_or(m_core.m_options.m_defaultDeadline);
-  m_deadline = m_call.m_arrival + std::min(deadline, m_core.m_options.m_longestDeadline);
+    m_call.m_requestOptions.m_deadline.value_or(m_core.m_options.m_defaultDeadline);
+  m_deadline = m_call.m_arrival + std::min(deadline, m_core.m_options.m_maxDeadline);
   m_guard = std::make_shared<OnceGuard>(
-    m_core, m_call.m_terms, m_call.m_account.m_name, ContentDigest(m_call.m_http));
+    m_core, m_call.m_requestOptions, m_call.m_account.m_name, ContentDigest(m_call.m_http));
   const auto self = shared_from_this();
-  m_guard->Begin([self](const OnceVerdict& aVerdict) { self->OnVerdict(aVerdict); });
+  m_guard->Begin([self](const OnceDecision& aDecision) { self->OnDecision(aDecision); });
 }
 
-void ServiceExchange::OnVerdict(const OnceVerdict& aVerdict)
+void ServiceExchange::OnDecision(const OnceDecision& aDecision)
 {
-  if (std::holds_alternative<RunHere>(aVerdict)) {
+  if (std::holds_alternative<RunLocally>(aDecision)) {
     Send();
     return;
   }
   EndWork();
-  if (const auto* replay = std::get_if<ReplayAnswer>(&aVerdict)) {
+  if (const auto* replay = std::get_if<ReplayResponse>(&aDecision)) {
     m_reply->Send(replay->m_answer.m_status,
                   { { "Content-Type", replay->m_answer.m_contentType },
                     { "X-Request-Id", m_call.m_request },
                     { "Ferrytray-Replayed", "true" } },
                   replay->m_answer.m_body);
-  } else if (const auto* passOn = std::get_if<PassOn>(&aVerdict)) {
-    PassToGate(m_core, passOn->m_address, m_call.m_http, m_call.m_request, m_reply);
+  } else if (const auto* forwardTo = std::get_if<ForwardTo>(&aDecision)) {
+    ForwardRequest(m_core, forwardTo->m_address, m_call.m_http, m_call.m_request, m_reply);
   } else {
-    SendFailure(*m_reply, std::get<base::Failure>(aVerdict), m_call.m_request);
+    SendError(*m_reply, std::get<base::Failure>(aDecision), m_call.m_request);
   }
 }
 
 bool ServiceExchange::Idempotent() const
 {
-  const bool guarded = m_guard->KeepsAnswer();
-  return m_call.m_terms.m_idempotent.value_or(m_call.m_service.m_idempotent && !guarded);
+  const bool guarded = m_guard->StoresResponse();
+  return m_call.m_requestOptions.m_idempotent.value_or(m_call.m_service.m_idempotent && !guarded);
 }
 
-void ServiceExchange::NoteCrash(const net::ClientOutcome& aOutcome)
+void ServiceExchange::RecordCrashOutcome(const net::ClientOutcome& aOutcome)
 {
   if (aOutcome.m_end == net::WireEnd::Complete) {
-    m_core.m_crashes.OnReply(m_life, m_sentAt);
-    if (aOutcome.m_status < kFirstServerSide) {
-      m_core.m_crashes.OnAnswered(m_key);
+    m_core.m_crashes.OnReply(m_endpointIncarnation, m_sentAt);
+    if (aOutcome.m_status < kFirstServerError) {
+      m_core.m_crashes.OnCompleteResponse(m_requestKey);
     }
   } else if (aOutcome.m_end != net::WireEnd::NotSent && !aOutcome.m_timedOut) {
-    m_core.m_crashes.OnBroken(m_key, m_life, m_sentAt);
+    m_core.m_crashes.OnConnectionLost(m_requestKey, m_endpointIncarnation, m_sentAt);
   }
 }
 
 void ServiceExchange::Send()
 {
   const base::TimePoint now = base::MonotonicNow();
-  if (m_core.m_crashes.IsQuarantined(m_key)) {
+  if (m_core.m_crashes.IsQuarantined(m_requestKey)) {
     Fail(ErrorCode::RequestQuarantined,
          "requests like this one end the endpoints that run them",
          m_mayHaveRun ? RunState::Unknown : RunState::NotRun);
@@ -115,7 +115,7 @@
     return;
   }
   const std::string name = endpoint->m_host.m_name;
-  m_life = name + "/" + endpoint->m_host.m_incarnation;
+  m_endpointIncarnation = name + "/" + endpoint->m_host.m_incarnation;
   m_sentAt = now;
   telemetry::LogLine("route_service")
     .Add("request", m_call.m_request)
@@ -148,9 +148,9 @@
                               const std::string& aBody)
 {
   m_core.m_view.EndService(aEndpoint);
-  NoteCrash(aOutcome);
+  RecordCrashOutcome(aOutcome);
   const bool complete = aOutcome.m_end == net::WireEnd::Complete;
-  const bool refused = complete && SaysNotStarted(aOutcome, aBody);
+  const bool refused = complete && ReportsNotStarted(aOutcome, aBody);
   if (complete && !refused) {
     Answer(aOutcome, aBody);
     return;
@@ -161,7 +161,7 @@
   const bool notSent = aOutcome.m_end == net::WireEnd::NotSent;
   const RunState run = refused || notSent ? RunState::NotRun : RunState::Unknown;
   m_mayHaveRun = m_mayHaveRun || run == RunState::Unknown;
-  if (TryAgain(aEndpoint, run)) {
+  if (RetryIfAllowed(aEndpoint, run)) {
     return;
   }
   const RunState overall = m_mayHaveRun ? RunState::Unknown : RunState::NotRun;
@@ -176,12 +176,14 @@
   }
 }
 
-bool ServiceExchange::TryAgain(const std::string& aEndpoint, RunState aRun)
+bool ServiceExchange::RetryIfAllowed(const std::string& aEndpoint, RunState aRun)
 {
   const base::TimePoint now = base::MonotonicNow();
   m_core.m_view.OnFailure(aEndpoint, now);
   m_tried.insert(aEndpoint);
-  const limits::FailedAttempt failed{ aRun, Idempotent(), m_attempts, m_deadline, kExpectedCall };
+  const limits::FailedAttempt failed{
+    aRun, Idempotent(), m_attempts, m_deadline, kExpectedCallTime
+  };
   if (!m_core.m_retries.TryRetry(failed, now)) {
     return false;
   }
@@ -203,18 +205,18 @@
 
 void ServiceExchange::Fail(ErrorCode aCode, const std::string& aMessage, RunState aRun)
 {
-  constexpr base::Duration kComeBack = std::chrono::seconds(1);
+  constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
   m_core.m_metrics.Count("requests_total{kind=\"service\",result=\"error\"}");
   m_guard->Fail(aRun);
   EndWork();
-  SendFailure(*m_reply, { aCode, aMessage, aRun, kComeBack }, m_call.m_request);
+  SendError(*m_reply, { aCode, aMessage, aRun, kRetryAfter }, m_call.m_request);
 }
 
 void ServiceExchange::EndWork()
 {
   if (m_open) {
     m_open = false;
-    m_core.End({ "account " + m_call.m_account.m_name });
+    m_core.RemoveOpenWork({ "account " + m_call.m_account.m_name });
     m_core.m_limiter.Release(m_call.m_account.m_name);
   }
 }
--- a/src/ferrytray/gate/ticket_handover.cpp
+++ b/src/ferrytray/gate/ticket_transfer.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/ticket_handover.hpp"
+#include "ferrytray/gate/ticket_transfer.hpp"
 
 #include <algorithm> // for any_of
 
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr base::Duration kRetryEvery = std::chrono::milliseconds(500);
-constexpr base::Duration kGiveUpAfter = std::chrono::seconds(20);
+constexpr base::Duration kRetryInterval = std::chrono::milliseconds(500);
+constexpr base::Duration kTransferTimeout = std::chrono::seconds(20);
 
 } // namespace
 
-base::Result<void> TicketMover::Listen()
+base::Result<void> TicketTransfer::Listen()
 {
   auto server = net::FrameServer::Create(m_core.m_loop,
                                          m_core.m_options.m_control,
@@ -25,7 +25,7 @@
   return {};
 }
 
-void TicketMover::OnChannel(const std::shared_ptr<net::FrameChannel>& aChannel)
+void TicketTransfer::OnChannel(const std::shared_ptr<net::FrameChannel>& aChannel)
 {
   const std::string ip = aChannel->RemoteIp();
   const auto& members = m_core.m_keeper->Members();
@@ -43,13 +43,13 @@
     const auto frame = wire::DecodeFrame(aBytes);
     const auto channel = weak.lock();
     if (frame && channel && std::holds_alternative<wire::TicketHandover>(*frame)) {
-      Take(std::get<wire::TicketHandover>(*frame), *channel);
+      AcceptTable(std::get<wire::TicketHandover>(*frame), *channel);
     }
   });
   // The channel keeps itself alive while it reads.
 }
 
-void TicketMover::Take(const wire::TicketHandover& aTable, net::FrameChannel& aChannel)
+void TicketTransfer::AcceptTable(const wire::TicketHandover& aTable, net::FrameChannel& aChannel)
 {
   if (aTable.m_incarnations.empty()) {
     return;
@@ -64,17 +64,17 @@
   aChannel.Send(wire::EncodeFrame(wire::TicketAck{ from }));
 }
 
-void TicketMover::GiveAway(std::function<void()> aDone)
+void TicketTransfer::TransferToPeer(std::function<void()> aDone)
 {
   m_done = std::move(aDone);
   m_core.m_tickets.Freeze();
   const auto rows = m_core.m_tickets.Export(base::MonotonicNow());
   const membership::Member* peer = nullptr;
   for (const membership::Member& member : m_core.m_keeper->Members()) {
-    const bool can = member.m_state == membership::MemberState::Alive &&
-                     !member.m_gateControl.empty() && member.m_host != m_core.m_options.m_host;
+    const bool eligible = member.m_state == membership::MemberState::Alive &&
+                          !member.m_gateControl.empty() && member.m_host != m_core.m_options.m_host;
     const bool better = peer == nullptr || member.m_zone == m_core.m_options.m_zone;
-    if (can && better) {
+    if (eligible && better) {
       peer = &member;
     }
   }
@@ -86,13 +86,13 @@
   }
   telemetry::LogLine("tickets_given").Add("to", peer->m_host).Add("count", rows.size());
   m_frame = wire::EncodeFrame(wire::TicketHandover{ m_core.m_tickets.Incarnations(), rows });
-  m_giveUp = m_core.m_loop.After(kGiveUpAfter, [this] { Finish(); });
+  m_transferTimeout = m_core.m_loop.After(kTransferTimeout, [this] { Finish(); });
   SendTo(*address);
 }
 
-void TicketMover::SendTo(const net::Address& aPeer)
+void TicketTransfer::SendTo(const net::Address& aPeer)
 {
-  m_retry = m_core.m_loop.After(kRetryEvery, [this, aPeer] { SendTo(aPeer); });
+  m_retryTimer = m_core.m_loop.After(kRetryInterval, [this, aPeer] { SendTo(aPeer); });
   net::ConnectFrames(
     m_core.m_loop, aPeer, [this](const std::shared_ptr<net::FrameChannel>& aChannel) {
       if (!aChannel) {
@@ -108,10 +108,10 @@
     });
 }
 
-void TicketMover::Finish()
+void TicketTransfer::Finish()
 {
-  m_retry.reset();
-  m_giveUp.reset();
+  m_retryTimer.reset();
+  m_transferTimeout.reset();
   const auto done = std::exchange(m_done, nullptr);
   if (done) {
     done();
--- a/tools/gate_main.cpp
+++ b/tools/gate_main.cpp
@@ -48,7 +48,7 @@
   options.m_drainWait = aSettings.Millis("drain-wait");
   options.m_claimTimeout = aSettings.Millis("claim-timeout");
   options.m_claimWindow = aSettings.Millis("claim-window");
-  options.m_configurationDue = aSettings.Millis("config-due");
+  options.m_maxConfigurationDelay = aSettings.Millis("config-due");
   options.m_incarnation = options.m_host + "-" + std::to_string(daemon::NewIncarnation());
   const auto addresses = daemon::ReadAddresses(aSettings,
                                                { { "listen", &options.m_listen },
