--- a/include/ferrytray/gate/cache_event_poller.hpp
+++ b/include/ferrytray/gate/cache_event_poller.hpp
@@ -7,7 +7,7 @@
 
 namespace ferrytray::gate {
 
-/// @brief Follows the cache events of this zone's engines and lists an engine afresh after a gap.
+/// @brief Polls the cache events of this zone's engines; fetches the full block list after a gap.
 class CacheEventPoller
 {
 public:
--- a/include/ferrytray/gate/caller_request.hpp
+++ b/include/ferrytray/gate/caller_request.hpp
@@ -12,43 +12,43 @@
 
 namespace ferrytray::gate {
 
-/// @brief Which shape the caller speaks.
+/// @brief Completion API that the caller uses.
 enum class CompletionKind : std::uint8_t
 {
   Completion,
   Chat,
 };
 
-/// @brief What a caller's headers ask for, whatever the path.
+/// @brief Request options from the HTTP headers, common to all paths.
 struct RequestOptions
 {
-  std::string m_apiKey; ///< bearer key
+  std::string m_apiKey; ///< bearer token
   std::optional<std::string> m_idempotencyKey;
   std::optional<std::string> m_ticket;
   std::optional<bool> m_idempotent;         ///< from Ferrytray-Idempotent
   std::optional<base::Duration> m_deadline; ///< from Ferrytray-Deadline-Ms
-  bool m_forwarded = false;                 ///< another gate passed it on; it goes no further
+  bool m_forwarded = false; ///< forwarded by another gate; must not be forwarded again
 };
 
-/// @brief A request for a model, read from its JSON body.
+/// @brief A completion request, parsed from its JSON body.
 struct ModelRequest
 {
   CompletionKind m_kind = CompletionKind::Completion;
   std::string m_model;
   std::string m_prompt;
   std::uint32_t m_maxTokens = 16;
-  std::uint32_t m_priority = 1; ///< 0 is the most urgent
+  std::uint32_t m_priority = 1; ///< 0 is the highest priority
   bool m_stream = false;
 };
 
-/// @brief Reads the headers. @return MissingKey or InvalidField
+/// @brief Parses the headers. @return MissingKey or InvalidField
 base::Result<RequestOptions> ParseRequestOptions(const net::HttpRequest& aRequest);
 
-/// @brief Reads the body of a completion or chat completion.
+/// @brief Parses the body of a completion or chat completion request.
 /// @return MalformedJson, MissingField or InvalidField
 base::Result<ModelRequest> ParseModelRequest(CompletionKind aKind, const std::string& aBody);
 
-/// @brief The content of a request as one digest, to notice a key used for another request.
+/// @brief Digest of method, target and body, to detect a key reused for a different request.
 base::Digest128 ContentDigest(const net::HttpRequest& aRequest);
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/claim_log_client.hpp
+++ b/include/ferrytray/gate/claim_log_client.hpp
@@ -12,30 +12,31 @@
 
 namespace ferrytray::gate {
 
-/// @brief Claims by callers' own keys: the coordinator joined to the platform's log.
+/// @brief Claims idempotency keys through the platform's log.
 class ClaimLogClient
 {
 public:
-  /// @brief Told once: dispatch, or another holds it, or refuse.
+  /// @brief Called once: claim won, lost to another request, or unsettled.
   using OnSettled = std::function<void(const once::ClaimAction&)>;
 
   ClaimLogClient(net::Loop& aLoop, net::HttpClient& aHttp, const GateOptions& aOptions);
   void Start();
 
-  /// @brief Claims a key. When the key is held already the answer comes at once.
-  /// @return the claim's id, for Done and Release
+  /// @brief Claims a key. Calls back synchronously if the key is already held or the log is
+  /// unavailable.
+  /// @return the claim's id, for Complete() and Release()
   base::Digest128 Claim(const base::Digest128& aKey,
                         const base::Digest128& aRequest,
                         OnSettled aOnSettled);
-  /// @brief The request ended; its answer is kept if there is one.
+  /// @brief The request has ended; stores its response if there is one.
   void Complete(const base::Digest128& aClaim,
                 const base::Digest128& aKey,
                 std::optional<once::KeptAnswer> aAnswer);
-  /// @brief The request certainly ran nothing.
+  /// @brief The request was certainly not run; releases the key.
   void Release(const base::Digest128& aClaim);
 
   [[nodiscard]] std::optional<once::KeptAnswer> FindResponse(const base::Digest128& aKey) const;
-  /// @brief Whether claims can be settled now: the log was read to its end and answers.
+  /// @brief Whether claims can be settled: the log is reachable and has been read to its end.
   [[nodiscard]] bool CanSettle() const { return m_follower.CaughtUp() && m_follower.Reachable(); }
   [[nodiscard]] std::size_t HeldKeys() const { return m_coordinator.Table().Size(); }
 
--- a/include/ferrytray/gate/context_exporter.hpp
+++ b/include/ferrytray/gate/context_exporter.hpp
@@ -5,24 +5,26 @@
 #include <string> // for string
 #include <vector> // for vector
 
-#include "ferrytray/gate/context_restore.hpp" // for StoreFound
+#include "ferrytray/gate/context_restore.hpp" // for StoreLookupResult
 
 namespace ferrytray::gate {
 
-/// @brief A context that has just been run.
+/// @brief Export of a context that an engine has just processed.
 struct ExportJob
 {
   std::string m_request;
   std::string m_account;
   std::string m_engine;      ///< IP:PORT
-  StoreLookupResult m_store; ///< what its home store had before the run
+  StoreLookupResult m_store; ///< result of the store lookup before the run
   std::vector<base::Digest128> m_blocks;
-  double m_bytes = 0;            ///< that would be moved
-  double m_recomputeSeconds = 0; ///< that keeping it can save
+  double m_bytes = 0;            ///< size of the blocks to export
+  double m_recomputeSeconds = 0; ///< compute time saved by a later restore
 };
 
-/// @brief Decides which contexts are kept, and moves them to their stores one at a time, a few
-/// blocks at a time, while no import waits for the store's link.
+/// @brief Decides which contexts are worth storing and exports them to their stores.
+///
+/// Exports one context per store at a time, in chunks of a few blocks, and pauses while imports are
+/// queued for the store's link.
 class ContextExporter
 {
 public:
@@ -31,7 +33,7 @@
   {
   }
 
-  /// @brief Keeps the context if that is worth it.
+  /// @brief Queues the context for export if its value justifies the cost.
   void ExportIfWorthwhile(ExportJob aJob);
 
 private:
@@ -39,7 +41,7 @@
   {
     ExportJob m_job;
     double m_value = 0;
-    std::size_t m_exportedBlocks = 0; ///< blocks that are kept already
+    std::size_t m_exportedBlocks = 0; ///< blocks that the store has already
   };
 
   void Enqueue(PendingExport aJob);
--- a/include/ferrytray/gate/context_restore.hpp
+++ b/include/ferrytray/gate/context_restore.hpp
@@ -11,37 +11,37 @@
 
 namespace ferrytray::gate {
 
-/// @brief What a store has of a prompt.
+/// @brief Blocks of a prompt that a store holds, and the state of the store.
 struct StoreLookupResult
 {
   std::string m_store;                      ///< name
-  std::string m_address;                    ///< IP:PORT; empty when no store answered
-  std::vector<std::uint64_t> m_generations; ///< one for each stored block, from the first on
+  std::string m_address;                    ///< IP:PORT; empty if no store replied
+  std::vector<std::uint64_t> m_generations; ///< one per stored block, from the first block on
   routing::StoreView m_view;
   routing::StorePressure m_pressure;
 };
 
-/// @brief Asks the context's home stores what they have; gives the best answer.
+/// @brief Queries the context's home stores and selects the one with the most blocks.
 /// @param aDone called once, within the lookup timeout
 void LookupStores(GateCore& aCore,
                   const std::vector<base::Digest128>& aBlocks,
                   std::function<void(const StoreLookupResult&)> aDone);
 
-/// @brief An import into an engine.
+/// @brief An import of stored blocks into an engine.
 struct ImportRequest
 {
   std::string m_engine; ///< IP:PORT
   StoreLookupResult m_storeLookup;
-  std::vector<base::Digest128> m_blocks; ///< the prompt's
-  std::uint32_t m_skip = 0;              ///< blocks that the engine has already
-  std::uint32_t m_count = 0;             ///< blocks to import after those
+  std::vector<base::Digest128> m_blocks; ///< all blocks of the prompt
+  std::uint32_t m_skip = 0;              ///< leading blocks that the engine has cached
+  std::uint32_t m_count = 0;             ///< blocks to import after the skipped ones
 };
 
-/// @brief Has an engine import blocks, then confirms that their generations are unchanged.
+/// @brief Imports blocks into an engine, then confirms that their generations are unchanged.
 ///
-/// The import waits under its own name and is used only if the confirmation comes, so no run ever
-/// uses a block that was freed or replaced while it was being copied.
-/// @param aDone gets the import's name, or nothing: then recompute
+/// The engine stages the import under its own name and uses it only after the confirmation, so no
+/// run uses a block that was freed or replaced while it was being copied.
+/// @param aDone gets the import's name, or nothing if the blocks must be recomputed
 void ImportBlocks(GateCore& aCore,
                   const ImportRequest& aRequest,
                   std::function<void(std::optional<std::string>)> aDone);
--- a/include/ferrytray/gate/context_tracker.hpp
+++ b/include/ferrytray/gate/context_tracker.hpp
@@ -12,7 +12,7 @@
 
 namespace ferrytray::gate {
 
-/// @brief When contexts were last seen here, and what that says of each account's return gaps.
+/// @brief Tracks when contexts were last seen at this gate, to estimate each account's return gaps.
 class ContextTracker
 {
 public:
@@ -21,8 +21,8 @@
   {
   }
 
-  /// @brief A request with this context came.
-  /// @return the gap since the last one, if it was seen here
+  /// @brief Records a request with this context.
+  /// @return the time since its last request, if the context is still tracked
   std::optional<base::Duration> OnRequest(const std::string& aAccount,
                                           const base::Digest128& aContext,
                                           base::TimePoint aNow);
--- a/include/ferrytray/gate/crash_log_client.hpp
+++ b/include/ferrytray/gate/crash_log_client.hpp
@@ -9,8 +9,10 @@
 
 namespace ferrytray::gate {
 
-/// @brief Requests that end the endpoints that run them: the crash board joined to the platform's
-/// log, so that all gates know what each saw, and those that start anew as well.
+/// @brief Detects requests that crash the endpoints running them.
+///
+/// Shares the observations of its CrashTracker with all gates through the platform's log. A gate
+/// that restarts reads the log from its start and recovers them.
 class CrashLogClient
 {
 public:
@@ -21,20 +23,20 @@
   {
     return m_tracker.IsQuarantined(aRequest);
   }
-  /// @brief An endpoint broke off under it. @param aEndpointIncarnation the endpoint's name and
-  /// incarnation
+  /// @brief An endpoint closed the connection while it ran the request.
+  /// @param aEndpointIncarnation the endpoint's name and incarnation
   /// @param aSentAt when this gate sent the request
   void OnConnectionLost(const quarantine::RequestKey& aRequest,
                         const std::string& aEndpointIncarnation,
                         base::TimePoint aSentAt);
-  /// @brief An endpoint answered it whole.
+  /// @brief An endpoint returned a complete response to the request.
   void OnCompleteResponse(const quarantine::RequestKey& aRequest);
-  /// @brief An endpoint answered a request that this gate sent at that time.
+  /// @brief An endpoint replied to a request that this gate sent at aSentAt.
   void OnReply(const std::string& aEndpointIncarnation, base::TimePoint aSentAt);
 
 private:
   void OnPage(const wire::LogPage& aPage);
-  /// Tells the other gates what the board got since that number.
+  /// Queues the tracker's notices from that offset on for the log.
   void PublishSince(quarantine::NoticeOffset aFrom);
   void Flush();
 
--- a/include/ferrytray/gate/decision_log.hpp
+++ b/include/ferrytray/gate/decision_log.hpp
@@ -11,24 +11,24 @@
 
 namespace ferrytray::gate {
 
-/// @brief One candidate of a decision, as it was judged.
+/// @brief A candidate worker and its evaluated plan.
 struct ScoredCandidate
 {
   std::string m_worker;
-  std::optional<routing::Plan> m_plan; ///< empty: not usable or not looked at
+  std::optional<routing::Plan> m_plan; ///< empty if not usable or not evaluated
 };
 
-/// @brief One routing decision.
+/// @brief A routing decision for one attempt of a request.
 struct Decision
 {
   std::string m_request;
   std::string m_account;
   std::string m_fleet;
-  std::string m_worker; ///< empty: none could be used
+  std::string m_worker; ///< empty if no worker was usable
   std::vector<ScoredCandidate> m_candidates;
 };
 
-/// @brief The last decisions, for `ferrytray explain`.
+/// @brief Keeps the most recent decisions for `ferrytray explain`.
 class DecisionLog
 {
 public:
@@ -37,9 +37,9 @@
   {
   }
 
-  /// @brief Writes the decision's log line and remembers it.
+  /// @brief Logs the decision and stores it.
   void Record(Decision aDecision);
-  /// @brief The decisions of a request as JSON; empty when it is not remembered.
+  /// @brief The decisions of a request as JSON; empty if none is stored.
   [[nodiscard]] std::string Explain(const std::string& aRequest) const;
 
 private:
--- a/include/ferrytray/gate/engine_attempt.hpp
+++ b/include/ferrytray/gate/engine_attempt.hpp
@@ -5,48 +5,48 @@
 #include <string>     // for string
 #include <variant>    // for variant
 
-#include "ferrytray/gate/engine_event_parser.hpp" // for EngineStream
+#include "ferrytray/gate/engine_event_parser.hpp" // for EngineEventParser
 #include "ferrytray/gate/gate_core.hpp"           // for GateCore
 #include "ferrytray/once/stream_assembler.hpp"    // for StreamAssembler
 
 namespace ferrytray::gate {
 
-/// @brief The whole answer was delivered.
+/// @brief The complete response was delivered.
 struct AttemptComplete
 {
   TokenUsage m_usage;
 };
-/// @brief The engine certainly started nothing.
+/// @brief The engine certainly did not start the request.
 struct AttemptNotStarted
 {
   std::string m_message;
   bool m_leaving = false;
 };
-/// @brief The engine answered with another weight version; nothing was delivered.
+/// @brief The engine ran a different weight version; nothing was delivered.
 struct AttemptVersionMismatch
 {
 };
-/// @brief It may have run, and the rest of its answer cannot be had.
+/// @brief The request may have run, and the rest of its response is lost.
 struct AttemptInterrupted
 {
   std::string m_message;
-  bool m_connectionClosed = false; ///< the engine closed the connection, and could not go on
+  bool m_connectionClosed = false; ///< the engine closed the connection and resuming failed
 };
 
 using AttemptResult =
   std::variant<AttemptComplete, AttemptNotStarted, AttemptVersionMismatch, AttemptInterrupted>;
 
-/// @brief What one attempt needs.
+/// @brief Parameters of one attempt.
 struct AttemptRequest
 {
   std::string m_engine; ///< IP:PORT
   std::string m_attempt;
-  std::string m_version; ///< the weight version that must answer
-  std::string m_body;    ///< JSON for the engine
+  std::string m_version; ///< required weight version
+  std::string m_body;    ///< JSON request body
   base::Duration m_timeout{};
 };
 
-/// @brief One request sent to one engine: sent once, its stream resumed where it broke.
+/// @brief Sends one request to one engine once and resumes its stream where it was interrupted.
 class EngineAttempt : public std::enable_shared_from_this<EngineAttempt>
 {
 public:
@@ -58,7 +58,7 @@
 
   EngineAttempt(GateCore& aCore, AttemptRequest aRequest, Handlers aHandlers);
   void Start();
-  /// @brief Cancels it at the engine; no handler is called any more.
+  /// @brief Cancels the run at the engine; no handler is called afterwards.
   void Cancel();
 
 private:
--- a/include/ferrytray/gate/engine_event_parser.hpp
+++ b/include/ferrytray/gate/engine_event_parser.hpp
@@ -7,21 +7,21 @@
 #include <variant>     // for variant
 #include <vector>      // for vector
 
-#include "ferrytray/gate/response_format.hpp" // for Usage
+#include "ferrytray/gate/response_format.hpp" // for TokenUsage
 
 namespace ferrytray::gate {
 
-/// @brief A piece of an engine's answer.
+/// @brief One chunk of an engine's response.
 struct EngineChunk
 {
   std::string m_text;
   std::uint64_t m_offset = 0;
   std::string m_version;
   bool m_last = false;
-  TokenUsage m_usage; ///< with the last piece only
+  TokenUsage m_usage; ///< set in the last chunk only
 };
 
-/// @brief The engine ended the attempt itself.
+/// @brief An error reported by the engine.
 struct EngineError
 {
   std::string m_message;
@@ -30,11 +30,11 @@
 
 using EngineEvent = std::variant<EngineChunk, EngineError>;
 
-/// @brief Cuts an engine's server-sent events apart; bytes may come in any pieces.
+/// @brief Incremental parser of an engine's server-sent events.
 class EngineEventParser
 {
 public:
-  /// @return the events that are whole now; one that is not JSON is dropped and counted
+  /// @return the events completed by these bytes; malformed events are dropped and counted
   std::vector<EngineEvent> Feed(std::string_view aBytes);
   [[nodiscard]] std::uint64_t MalformedEvents() const { return m_malformedEvents; }
 
@@ -43,7 +43,7 @@
   std::uint64_t m_malformedEvents = 0;
 };
 
-/// @brief Reads the body of an engine's refusal.
+/// @brief Parses the body of an engine's error response.
 EngineError ParseEngineError(const std::string& aBody);
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/fleet_queues.hpp
+++ b/include/ferrytray/gate/fleet_queues.hpp
@@ -9,8 +9,8 @@
 
 namespace ferrytray::gate {
 
-/// @brief Holds requests back while every engine of a fleet has a queue, so that fairness between
-/// client accounts is decided here and not by who came first at an engine.
+/// @brief Queues requests while all engines of a fleet are busy, so that fair queuing between
+/// client accounts decides their order instead of the arrival order at an engine.
 class FleetQueues
 {
 public:
@@ -19,19 +19,19 @@
   {
   }
 
-  /// @brief Starts the pump.
+  /// @brief Starts the periodic dispatch of queued requests.
   void Start();
-  /// @brief Whether a request has to wait here.
+  /// @brief Whether a new request must be queued.
   [[nodiscard]] bool MustQueue(const std::string& aFleet) const;
-  /// @brief Holds a request. @return its number, or 0 when the queue is full
+  /// @brief Queues a request. @return its id, or 0 if the queue is full
   std::uint64_t Enqueue(const std::string& aFleet,
                         const std::string& aAccount,
                         double aWeight,
                         double aEngineSeconds,
                         std::function<void()> aResume);
-  /// @brief The request is not wanted any more.
+  /// @brief Removes a request that has ended while queued.
   void Dequeue(const std::string& aFleet, std::uint64_t aId);
-  /// @brief Expected time until what is held now has gone to engines.
+  /// @brief Expected time until all requests queued now have been dispatched.
   [[nodiscard]] base::Duration ExpectedWait(const std::string& aFleet, std::size_t aWorkers) const;
 
 private:
--- a/include/ferrytray/gate/fleet_view.hpp
+++ b/include/ferrytray/gate/fleet_view.hpp
@@ -17,20 +17,20 @@
 
 namespace ferrytray::gate {
 
-/// @brief What this gate knows of the endpoints: its keeper's word and its own experience.
+/// @brief State of the endpoints as the keeper reports it, adjusted by this gate's own requests.
 class FleetView
 {
 public:
   FleetView(std::string aZone, std::size_t aHintBlocks);
 
   void OnEndpoints(std::vector<wire::EndpointStatus> aEndpoints, base::TimePoint aNow);
-  /// @brief Work was sent to a worker; it is not in the reports yet.
+  /// @brief Work was sent to a worker and is not in its load report yet.
   void OnSent(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
-  /// @brief Work that was sent has been done, whatever the reports say yet.
+  /// @brief Work sent earlier is done, even if the last load report still includes it.
   void OnWorkDone(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
-  /// @brief The endpoint refused or broke; it is passed over for a moment.
+  /// @brief The endpoint failed a request; excludes it for a short cooldown.
   void OnFailure(const std::string& aEndpoint, base::TimePoint aNow);
-  /// @brief The endpoint said itself that it leaves.
+  /// @brief The endpoint reported that it is leaving.
   void MarkLeaving(const std::string& aEndpoint);
 
   struct Candidate
@@ -39,20 +39,20 @@
     routing::WorkerView m_view;
   };
 
-  /// @brief The fleet's workers for a prompt, the homes of its context first.
-  /// @param aTried workers that this request has tried already
+  /// @brief The fleet's workers for a prompt, the home workers of its context first.
+  /// @param aTried workers to exclude because this request has already tried them
   [[nodiscard]] std::vector<Candidate> Candidates(const config::Fleet& aFleet,
                                                   std::span<const base::Digest128> aBlocks,
                                                   const std::set<std::string>& aTried,
                                                   base::TimePoint aNow) const;
-  /// @brief A live endpoint of a plain service, the least busy of this gate's.
+  /// @brief The usable endpoint of a service with the fewest open calls from this gate.
   [[nodiscard]] const wire::EndpointStatus* PickService(const std::string& aService,
                                                         const std::set<std::string>& aTried,
                                                         base::TimePoint aNow) const;
-  /// @brief The context's home stores in this zone (or any, if the zone has none).
+  /// @brief The context's home stores in this zone, or in any zone if this one has no store.
   [[nodiscard]] std::vector<const wire::EndpointStatus*> HomeStores(
     const base::Digest128& aContext) const;
-  /// @brief The shortest queue among a fleet's usable workers.
+  /// @brief The shortest queue wait among a fleet's usable workers.
   [[nodiscard]] std::optional<base::Duration> ShortestQueueWait(const std::string& aFleet,
                                                                 base::TimePoint aNow) const;
 
--- a/include/ferrytray/gate/gate.hpp
+++ b/include/ferrytray/gate/gate.hpp
@@ -9,14 +9,15 @@
 
 namespace ferrytray::gate {
 
-/// @brief One host's daemon towards callers: authentication, limits, routing, at-most-once.
+/// @brief The caller-facing daemon of a host: authentication, limits, routing, at-most-once runs.
 class Gate
 {
 public:
   static base::Result<std::unique_ptr<Gate>> Create(net::Loop& aLoop, const GateOptions& aOptions);
   virtual ~Gate() = default;
   [[nodiscard]] virtual net::Address ListenAddress() const = 0;
-  /// @brief A planned stop: not ready, finish every stream, hand the tickets over, then call.
+  /// @brief Planned stop: reports not ready, finishes open streams, transfers the tickets, then
+  /// calls aDone.
   virtual void Drain(std::function<void()> aDone) = 0;
 };
 
--- a/include/ferrytray/gate/gate_core.hpp
+++ b/include/ferrytray/gate/gate_core.hpp
@@ -6,12 +6,12 @@
 #include <string>     // for string
 #include <vector>     // for vector
 
-#include "ferrytray/gate/claim_log_client.hpp"  // for ClaimsLink
-#include "ferrytray/gate/context_tracker.hpp"   // for ContextLog
-#include "ferrytray/gate/crash_log_client.hpp"  // for CrashLink
+#include "ferrytray/gate/claim_log_client.hpp"  // for ClaimLogClient
+#include "ferrytray/gate/context_tracker.hpp"   // for ContextTracker
+#include "ferrytray/gate/crash_log_client.hpp"  // for CrashLogClient
 #include "ferrytray/gate/decision_log.hpp"      // for DecisionLog
 #include "ferrytray/gate/fleet_view.hpp"        // for FleetView
-#include "ferrytray/gate/keeper_connection.hpp" // for KeeperLink
+#include "ferrytray/gate/keeper_connection.hpp" // for KeeperConnection
 #include "ferrytray/limits/account_limiter.hpp" // for AccountLimiter
 #include "ferrytray/limits/retry_budget.hpp"    // for RetryBudget
 #include "ferrytray/once/ticket_table.hpp"      // for TicketTable
@@ -19,7 +19,7 @@
 
 namespace ferrytray::gate {
 
-/// @brief What every request at one gate shares.
+/// @brief State shared by all requests of a gate.
 struct GateCore
 {
   GateCore(net::Loop& aLoop, const GateOptions& aOptions);
@@ -41,11 +41,11 @@
   std::map<std::string, std::uint64_t> m_openByOwner; ///< open work by fleet and by client account
   std::uint64_t m_attempts = 0;
 
-  /// @brief Work of these owners begins or has ended; hand-overs wait for it.
+  /// @brief Counts open work per fleet and client account; hand-overs wait until none is open.
   void AddOpenWork(const std::vector<std::string>& aOwners);
   void RemoveOpenWork(const std::vector<std::string>& aOwners);
 
-  /// @brief A name for one attempt, unique over all gates and starts.
+  /// @brief An id for one attempt, unique across gates and restarts.
   std::string NextAttemptId()
   {
     return m_options.m_incarnation + "-" + std::to_string(++m_attempts);
--- a/include/ferrytray/gate/keeper_connection.hpp
+++ b/include/ferrytray/gate/keeper_connection.hpp
@@ -15,13 +15,14 @@
 
 namespace ferrytray::gate {
 
-/// @brief The gate's line to its keeper. What came last stays in use while the keeper is away.
+/// @brief Connection to this host's keeper. The last received state stays in use while
+/// disconnected.
 class KeeperConnection
 {
 public:
   struct Handlers
   {
-    std::function<void(const config::Document&)> m_onDocument; ///< came into force
+    std::function<void(const config::Document&)> m_onDocument; ///< called for each document applied
     std::function<void(const wire::EndpointUpdate&)> m_onEndpoints;
     std::function<void(const wire::ShareUpdate&)> m_onShares;
     std::function<wire::GateReport()> m_makeReport;
@@ -29,20 +30,20 @@
 
   KeeperConnection(net::Loop& aLoop, const GateOptions& aOptions, Handlers aHandlers);
   void Start();
-  /// @brief Sends a report now instead of with the next round.
+  /// @brief Sends a report immediately instead of at the next interval.
   void ReportNow();
 
   [[nodiscard]] const replay::Registry& Registry() const { return m_registry; }
   [[nodiscard]] bool HasConfig() const { return m_hasConfig; }
   [[nodiscard]] std::uint64_t Position() const { return m_position; }
   [[nodiscard]] const std::vector<membership::Member>& Members() const { return m_members; }
-  /// @brief The live member at which a gate incarnation's tickets are, or null.
+  /// @brief The member that holds the tickets of a gate incarnation, live ones first, or null.
   [[nodiscard]] const membership::Member* FindTicketHolder(const std::string& aIncarnation) const;
-  /// @brief What the log says of a rule's hand-overs; empty until the keeper has told.
+  /// @brief The hand-over epochs of a rule; empty until the keeper has sent them.
   [[nodiscard]] std::optional<wire::HalfEpochs> Epochs(const std::string& aRule) const;
   [[nodiscard]] bool Connected() const { return m_channel != nullptr; }
-  /// @brief Whether a configuration that this gate has not heard of may be in force: the keeper, or
-  /// the log, has told nothing for too long.
+  /// @brief Whether a newer configuration may be in force, because the keeper or the log has been
+  /// silent for too long.
   [[nodiscard]] bool MayBeBehind(base::TimePoint aNow) const;
 
 private:
@@ -67,9 +68,9 @@
   replay::Registry m_registry;
   std::map<std::string, std::uint64_t> m_accepted;
   std::uint64_t m_position = 0;
-  std::uint64_t m_lastQuestion = 0;               ///< number of the newest question of age
-  std::deque<base::TimePoint> m_questionSentAt;   ///< of the newest ones, the last one first
-  std::optional<base::TimePoint> m_configKnownAt; ///< what the log had taken by then is known
+  std::uint64_t m_lastQuestion = 0;               ///< number of the last ConfigurationAgeQuestion
+  std::deque<base::TimePoint> m_questionSentAt;   ///< send times of recent questions, newest first
+  std::optional<base::TimePoint> m_configKnownAt; ///< log records up to then are known
   bool m_hasConfig = false;
   bool m_epochsKnown = false;
   std::map<std::string, wire::HalfEpochs> m_epochs;
--- a/include/ferrytray/gate/model_exchange.hpp
+++ b/include/ferrytray/gate/model_exchange.hpp
@@ -5,24 +5,24 @@
 #include <string> // for string
 #include <vector> // for vector
 
-#include "ferrytray/gate/context_exporter.hpp" // for Exporter
-#include "ferrytray/gate/context_restore.hpp"  // for StoreFound
+#include "ferrytray/gate/context_exporter.hpp" // for ContextExporter
+#include "ferrytray/gate/context_restore.hpp"  // for StoreLookupResult
 #include "ferrytray/gate/engine_attempt.hpp"   // for EngineAttempt
 #include "ferrytray/gate/fleet_queues.hpp"     // for FleetQueues
 #include "ferrytray/gate/once_guard.hpp"       // for OnceGuard
-#include "ferrytray/gate/response_writer.hpp"  // for CallerAnswer
+#include "ferrytray/gate/response_writer.hpp"  // for ResponseWriter
 #include "ferrytray/routing/choose.hpp"        // for Choice
 
 namespace ferrytray::gate {
 
-/// @brief What the exchanges use besides the core.
+/// @brief Services used by model exchanges besides the core.
 struct ExchangeServices
 {
   FleetQueues& m_queues;
   ContextExporter& m_exporter;
 };
 
-/// @brief An admitted request for a model.
+/// @brief An admitted completion request.
 struct ModelCall
 {
   std::string m_request; ///< request id
@@ -34,7 +34,7 @@
   base::TimePoint m_arrival;
 };
 
-/// @brief One request for a model, from admission to its one answer.
+/// @brief Handles one completion request from admission to its response.
 class ModelExchange : public std::enable_shared_from_this<ModelExchange>
 {
 public:
@@ -46,7 +46,7 @@
   void Start();
 
 private:
-  /// When a caller whose request was not run should come back.
+  /// Retry-After advice for failed requests.
   static constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
 
   void OnDecision(const OnceDecision& aDecision);
@@ -74,7 +74,7 @@
   void OnDeadline();
   void EndWork();
 
-  /// Of the engine that it was sent to: name and incarnation.
+  /// Name and incarnation of the selected engine.
   [[nodiscard]] std::string EngineIncarnation() const
   {
     return m_worker + "/" + m_workerIncarnation;
@@ -97,7 +97,7 @@
   std::string m_workerIncarnation;
   double m_workerTokensPerSecond = 1;
   std::uint32_t m_workerCachedBlocks = 0;
-  quarantine::RequestKey m_requestKey; ///< of all requests that are alike
+  quarantine::RequestKey m_requestKey; ///< shared by identical requests
   base::TimePoint m_sentAt{};
   std::set<std::string> m_tried;
   base::TimePoint m_deadline;
--- a/include/ferrytray/gate/once_guard.hpp
+++ b/include/ferrytray/gate/once_guard.hpp
@@ -6,21 +6,21 @@
 #include <string>     // for string
 #include <variant>    // for variant
 
-#include "ferrytray/gate/caller_request.hpp" // for CallerTerms
+#include "ferrytray/gate/caller_request.hpp" // for RequestOptions
 #include "ferrytray/gate/gate_core.hpp"      // for GateCore
 
 namespace ferrytray::gate {
 
-/// @brief Run the request here.
+/// @brief Run the request at this gate.
 struct RunLocally
 {
 };
-/// @brief Send the answer that was kept.
+/// @brief Send the stored response.
 struct ReplayResponse
 {
   once::KeptAnswer m_answer;
 };
-/// @brief Pass the request on to another gate, a known member.
+/// @brief Forward the request to the gate of a known member.
 struct ForwardTo
 {
   std::string m_address;
@@ -28,8 +28,8 @@
 
 using OnceDecision = std::variant<RunLocally, ReplayResponse, ForwardTo, base::Failure>;
 
-/// @brief Sees to it that one request runs at most once: by ticket, by claim, or by being sent
-/// once.
+/// @brief Ensures that a request runs at most once: by its ticket, by a claim of its idempotency
+/// key, or, with neither, by being sent only once.
 class OnceGuard : public std::enable_shared_from_this<OnceGuard>
 {
 public:
@@ -38,13 +38,13 @@
             std::string aAccount,
             const base::Digest128& aContentDigest);
 
-  /// @brief Decides what to do with the request; calls once, perhaps later.
+  /// @brief Decides what to do with the request; calls back once, possibly later.
   void Begin(std::function<void(const OnceDecision&)> aOnDecision);
-  /// @brief The request ended with an answer.
+  /// @brief The request ended with a response.
   void Finish(const once::KeptAnswer& aAnswer);
-  /// @brief The request ended without one.
+  /// @brief The request ended without a response.
   void Fail(base::RunState aRun);
-  /// @brief Whether the caller may come back for the answer, so that it is worth finishing.
+  /// @brief Whether the response is stored for a retry, so that a run without a caller goes on.
   [[nodiscard]] bool StoresResponse() const
   {
     return m_requestOptions.m_ticket || m_requestOptions.m_idempotencyKey;
@@ -65,7 +65,7 @@
   base::Digest128 m_contentDigest;
   base::Digest128 m_keyDigest;
   std::optional<base::Digest128> m_claim;
-  bool m_claimRejected = false; ///< settled against this request, perhaps at once
+  bool m_claimRejected = false; ///< lost or unsettled, possibly before Claim() returned
   bool m_ticketRedeemed = false;
   std::function<void(const OnceDecision&)> m_onDecision;
 };
--- a/include/ferrytray/gate/operator_requests.hpp
+++ b/include/ferrytray/gate/operator_requests.hpp
@@ -7,10 +7,10 @@
 
 namespace ferrytray::gate {
 
-/// @brief Answers what operators, the balancer and the other half ask a gate: health, readiness,
-/// metrics, the end of a hand-over, the story of a request.
+/// @brief Serves the paths for operators, the load balancer and the other half: health, readiness,
+/// metrics, hand-over epochs and the routing decisions of a request.
 /// @param aDraining whether a planned stop has begun
-/// @return whether it was such a question
+/// @return whether the path was one of these
 bool HandleOperatorRequest(GateCore& aCore,
                            const net::HttpServerCounters& aCounters,
                            bool aDraining,
--- a/include/ferrytray/gate/options.hpp
+++ b/include/ferrytray/gate/options.hpp
@@ -8,30 +8,30 @@
 
 namespace ferrytray::gate {
 
-/// @brief Settings of one gate.
+/// @brief Settings of a gate.
 struct GateOptions
 {
   std::string m_host;
   std::string m_zone;
-  std::string m_incarnation;                  ///< unique over all starts; no dot in it
+  std::string m_incarnation;                  ///< unique across restarts; must not contain a dot
   std::string m_platform;                     ///< "http://IP:PORT"
-  net::Address m_listen{ "127.0.0.1", 8080 }; ///< callers (HTTP)
+  net::Address m_listen{ "127.0.0.1", 8080 }; ///< HTTP requests of callers
   net::Address m_control{ "127.0.0.1", 0 };   ///< ticket tables from peers (TCP)
   net::Address m_keeper{ "127.0.0.1", 0 };    ///< this host's keeper (TCP)
-  std::size_t m_maxBodyBytes = 8U << 20U;     ///< longer bodies are refused
+  std::size_t m_maxBodyBytes = 8U << 20U;     ///< longer bodies are rejected
   std::size_t m_maxHeaderBytes = 32U << 10U;
-  std::size_t m_maxUnsentBytes = 4U << 20U; ///< unread answer at which a caller is dropped
+  std::size_t m_maxUnsentBytes = 4U << 20U; ///< backlog at which a slow caller is dropped
   std::size_t m_maxStoredResponseBytes = 16U << 20U;
-  std::size_t m_queueCapacity = 4096; ///< held requests of a fleet
+  std::size_t m_queueCapacity = 4096; ///< queued requests per fleet
   base::Duration m_holdAbove =
-    std::chrono::milliseconds(300); ///< engine queue at which requests are held here
+    std::chrono::milliseconds(300); ///< queue wait of engines above which requests are queued here
   base::Duration m_defaultDeadline = std::chrono::minutes(5);
   base::Duration m_maxDeadline = std::chrono::minutes(30);
-  base::Duration m_drainWait = std::chrono::seconds(2); ///< for the balancer to notice a stop
+  base::Duration m_drainWait = std::chrono::seconds(2); ///< for the load balancer to notice
   base::Duration m_maxLoadReportAge = std::chrono::seconds(10);
   base::Duration m_claimTimeout = std::chrono::seconds(2);
   base::Duration m_claimWindow = std::chrono::hours(1);
-  /// A change of the configuration is in force within so long after the log took it.
+  /// Maximum time from the append of a configuration change to the log until it is in force.
   base::Duration m_maxConfigurationDelay = std::chrono::seconds(3);
 };
 
--- a/include/ferrytray/gate/request_forwarding.hpp
+++ b/include/ferrytray/gate/request_forwarding.hpp
@@ -8,9 +8,9 @@
 
 namespace ferrytray::gate {
 
-/// @brief Passes a request on to another gate and its answer back, piece by piece.
+/// @brief Forwards a request to another gate and streams the response back.
 /// @param aAddress IP:PORT of a known member's gate
-/// @param aRequestId for the error answer when the other gate cannot be reached
+/// @param aRequestId for the error response if the other gate is unreachable
 void ForwardRequest(GateCore& aCore,
                     const std::string& aAddress,
                     const net::HttpRequest& aRequest,
--- a/include/ferrytray/gate/response_writer.hpp
+++ b/include/ferrytray/gate/response_writer.hpp
@@ -5,12 +5,12 @@
 #include <optional>   // for optional
 #include <string>     // for string
 
-#include "ferrytray/gate/response_format.hpp" // for Usage, AnswerNames
+#include "ferrytray/gate/response_format.hpp" // for TokenUsage, ResponseMetadata
 #include "ferrytray/once/ticket_table.hpp"    // for KeptAnswer
 
 namespace ferrytray::gate {
 
-/// @brief The caller's side of one request: text out, whole or streamed, exactly once.
+/// @brief Writes the response of one request to its caller exactly once, whole or streamed.
 class ResponseWriter
 {
 public:
@@ -19,19 +19,19 @@
                  CompletionKind aKind,
                  bool aStream);
 
-  /// @brief More of the answer's text.
+  /// @brief Appends text to the response.
   void AppendText(const std::string& aText);
-  /// @brief The end of the answer. @return what a repeat of the request would be sent
+  /// @brief Ends the response. @return the response to replay for a repeated request
   once::KeptAnswer Complete(const TokenUsage& aUsage);
-  /// @brief The end without an answer.
+  /// @brief Ends the response with an error.
   void Fail(const base::Failure& aFailure);
-  /// @brief An answer that was kept.
+  /// @brief Sends a stored response.
   void Replay(const once::KeptAnswer& aAnswer);
 
   void OnClosed(std::function<void()> aCall) { m_reply->OnClosed(std::move(aCall)); }
   [[nodiscard]] bool HasText() const { return !m_text.empty(); }
   [[nodiscard]] std::size_t UnsentBytes() const { return m_reply->PendingBytes(); }
-  /// @brief The reply itself, for a request that is passed on.
+  /// @brief The underlying reply, for forwarding the request to another gate.
   [[nodiscard]] std::shared_ptr<net::HttpReply> Reply() const { return m_reply; }
 
 private:
--- a/include/ferrytray/gate/service_exchange.hpp
+++ b/include/ferrytray/gate/service_exchange.hpp
@@ -8,7 +8,7 @@
 
 namespace ferrytray::gate {
 
-/// @brief An admitted call of a plain service.
+/// @brief An admitted call of a service.
 struct ServiceCall
 {
   std::string m_request; ///< request id
@@ -19,7 +19,7 @@
   base::TimePoint m_arrival;
 };
 
-/// @brief One call of a plain service, from admission to its one answer.
+/// @brief Handles one call of a service from admission to its response.
 class ServiceExchange : public std::enable_shared_from_this<ServiceExchange>
 {
 public:
@@ -37,7 +37,7 @@
   void Answer(const net::ClientOutcome& aOutcome, const std::string& aBody);
   void Fail(base::ErrorCode aCode, const std::string& aMessage, base::RunState aRun);
   void EndWork();
-  /// What the reply's end says of the request and of the endpoint.
+  /// Reports to crash detection how the call ended.
   void RecordCrashOutcome(const net::ClientOutcome& aOutcome);
   [[nodiscard]] bool Idempotent() const;
 
@@ -45,8 +45,8 @@
   ServiceCall m_call;
   std::shared_ptr<net::HttpReply> m_reply;
   std::shared_ptr<OnceGuard> m_guard;
-  quarantine::RequestKey m_requestKey; ///< of all requests that are alike
-  std::string m_endpointIncarnation; ///< of the endpoint that it was sent to: name and incarnation
+  quarantine::RequestKey m_requestKey; ///< shared by identical requests
+  std::string m_endpointIncarnation;   ///< name and incarnation of the endpoint used
   base::TimePoint m_sentAt{};
   std::set<std::string> m_tried;
   base::TimePoint m_deadline;
--- a/include/ferrytray/gate/ticket_transfer.hpp
+++ b/include/ferrytray/gate/ticket_transfer.hpp
@@ -9,7 +9,7 @@
 
 namespace ferrytray::gate {
 
-/// @brief Gives this gate's tickets to one peer on a planned stop, and takes a peer's.
+/// @brief Transfers this gate's tickets to a peer on a planned stop and accepts those of peers.
 class TicketTransfer
 {
 public:
@@ -18,11 +18,11 @@
   {
   }
 
-  /// @brief Takes tables from known members. @return ListenFailed when the address is taken
+  /// @brief Accepts ticket tables from known members. @return ListenFailed if the address is in use
   base::Result<void> Listen();
   [[nodiscard]] net::Address ControlAddress() const { return m_server->ListenAddress(); }
-  /// @brief Freezes the table and sends it to one named peer, again and again to that one alone.
-  /// @param aDone called when the peer has it, or when there is no peer or no more time
+  /// @brief Freezes the ticket table and sends it to one peer; retries go to the same peer.
+  /// @param aDone called on acknowledgement, on timeout, or if there are no tickets or no peer
   void TransferToPeer(std::function<void()> aDone);
 
 private:
--- a/src/ferrytray/gate/caller_request.cpp
+++ b/src/ferrytray/gate/caller_request.cpp
@@ -72,7 +72,7 @@
   const bool fits = found->is_number_unsigned() && found->get<std::uint64_t>() <= aMax;
   if (!fits) {
     return base::Fail(ErrorCode::InvalidField,
-                      "field '" + std::string(aName) + "' expects a whole number up to " +
+                      "field '" + std::string(aName) + "' expects an integer of at most " +
                         std::to_string(aMax));
   }
   return found->get<std::uint32_t>();
@@ -151,7 +151,7 @@
   requestOptions.m_forwarded = !aRequest.Header("Ferrytray-Forwarded").empty();
   if (requestOptions.m_idempotencyKey && requestOptions.m_ticket) {
     return base::Fail(ErrorCode::InvalidField,
-                      "Idempotency-Key and Ferrytray-Ticket exclude each other");
+                      "Idempotency-Key and Ferrytray-Ticket are mutually exclusive");
   }
   if (requestOptions.m_idempotencyKey.value_or("").size() > kMaxKeyBytes) {
     return base::Fail(ErrorCode::InvalidField, "Idempotency-Key expects at most 256 bytes");
@@ -163,7 +163,7 @@
 {
   const json body = json::parse(aBody, nullptr, false);
   if (body.is_discarded()) {
-    return base::Fail(ErrorCode::MalformedJson, "the body is not JSON");
+    return base::Fail(ErrorCode::MalformedJson, "the body is not valid JSON");
   }
   if (!body.is_object()) {
     return base::Fail(ErrorCode::MalformedJson, "the body is not a JSON object");
--- a/src/ferrytray/gate/context_exporter.cpp
+++ b/src/ferrytray/gate/context_exporter.cpp
@@ -15,7 +15,7 @@
 
 constexpr base::Duration kExportTimeout = std::chrono::seconds(30);
 constexpr std::size_t kMaxQueuedExports = 256;
-constexpr std::size_t kChunkBlocks = 16; // about what an import may have to wait behind
+constexpr std::size_t kChunkBlocks = 16; // bounds how long an import waits behind an export
 constexpr base::Duration kLinkRetryDelay = std::chrono::milliseconds(100);
 
 net::ClientRequest Post(const std::string& aAddress, const std::string& aPath, const json& aBody)
@@ -77,7 +77,7 @@
 
 void ContextExporter::CheckStore(const PendingExport& aJob)
 {
-  // Another gate may have kept it since, and imports may have come to wait.
+  // Another gate may have stored the blocks since, and imports may be queued.
   LookupStores(m_core, aJob.m_job.m_blocks, [this, aJob](const StoreLookupResult& aLookup) {
     OnStoreChecked(aJob, aLookup);
   });
@@ -135,7 +135,7 @@
                              const std::string& aManifestReply)
 {
   const json reply = json::parse(aManifestReply, nullptr, false);
-  // The engine may have evicted the rest since; what was not moved is not kept.
+  // The engine may have evicted the remaining blocks; they cannot be stored.
   const bool exported =
     reply.is_object() && reply.contains("manifest") && !reply["manifest"].empty();
   if (!exported) {
--- a/src/ferrytray/gate/context_restore.cpp
+++ b/src/ferrytray/gate/context_restore.cpp
@@ -69,15 +69,15 @@
   return result;
 }
 
-/// Waits for every store asked.
+/// Collects the replies of all queried stores.
 struct PendingLookup
 {
   std::size_t m_remaining = 0;
-  std::vector<StoreLookupResult> m_results; ///< in the order of the context's homes
+  std::vector<StoreLookupResult> m_results; ///< in the order of the context's home stores
   std::function<void(const StoreLookupResult&)> m_done;
 };
 
-/// The one that has most; among equals the first home, so that all gates pick the same.
+/// The result with the most blocks; on ties the first home store, so that all gates pick the same.
 const StoreLookupResult& SelectBest(const std::vector<StoreLookupResult>& aLookup)
 {
   const StoreLookupResult* best = &aLookup.front();
--- a/src/ferrytray/gate/crash_log_client.cpp
+++ b/src/ferrytray/gate/crash_log_client.cpp
@@ -16,14 +16,14 @@
 
 constexpr const char* kTopic = "crashes";
 
-/// What other gates saw is known within so long, whatever the log does with one read.
+/// Upper bound for learning other gates' observations, even if a single read of the log hangs.
 constexpr base::Duration kMaxPropagationDelay = std::chrono::seconds(3);
 
-/// Between appends, and after one that failed.
+/// Delays before the next append: after new notices, and after a failed append.
 constexpr base::Duration kFlushDelay = std::chrono::milliseconds(50);
 constexpr base::Duration kRetryDelay = std::chrono::milliseconds(500);
 
-/// While the log is away; beyond that the newest observations are dropped.
+/// Limit while the log is unavailable; beyond it the newest observations are dropped.
 constexpr std::size_t kMaxPendingNotices = 1024;
 
 std::string Encode(const quarantine::CrashNotices& aNotices)
@@ -38,7 +38,7 @@
   return all.dump();
 }
 
-/// @throws json::exception for anything that Encode() does not write
+/// @throws json::exception for text that Encode() cannot have written
 quarantine::CrashNotices Decode(const std::string& aText)
 {
   quarantine::CrashNotices notices;
@@ -143,7 +143,7 @@
     if (aOffset) {
       m_follower.Expect(*aOffset);
     } else {
-      // It may have been written; told twice, it counts once.
+      // The append may have succeeded; duplicate notices count once.
       m_pendingNotices.insert(m_pendingNotices.begin(), sent.begin(), sent.end());
     }
     if (!m_pendingNotices.empty()) {
--- a/src/ferrytray/gate/engine_attempt.cpp
+++ b/src/ferrytray/gate/engine_attempt.cpp
@@ -34,7 +34,7 @@
   request.m_url = "http://" + m_request.m_engine + "/v1/completions";
   request.m_headers = { { "Content-Type", "application/json" } };
   request.m_body = std::exchange(m_request.m_body, {});
-  // Every run is sent on a connection of its own: libcurl would resend it by itself otherwise.
+  // A connection of its own, because libcurl resends requests on reused connections by itself.
   request.m_ownConnection = true;
   Send(std::move(request));
 }
@@ -124,7 +124,7 @@
     return;
   }
   if (refused || m_resumeCount >= kMaxResumes) {
-    End(AttemptInterrupted{ "the engine's stream broke: " + aOutcome.m_detail,
+    End(AttemptInterrupted{ "the engine's stream was interrupted: " + aOutcome.m_detail,
                             !refused && !aOutcome.m_timedOut });
     return;
   }
@@ -155,7 +155,7 @@
     return;
   }
   m_ended = true;
-  // The handlers hold the request, which holds this attempt. Freed later: one may be running.
+  // The handlers own the exchange, which owns this attempt. Freed later: one may be running.
   m_core.m_loop.Post([handlers = std::exchange(m_handlers, {})] {});
   if (m_call != 0) {
     m_core.m_http->Cancel(m_call);
--- a/src/ferrytray/gate/engine_event_parser.cpp
+++ b/src/ferrytray/gate/engine_event_parser.cpp
@@ -24,8 +24,8 @@
 
 EngineError EngineErrorFromJson(const json& aObject)
 {
-  // Anything that does not say clearly that nothing was started counts as started.
-  EngineError error{ "unreadable refusal", true };
+  // An error counts as started unless it states explicitly that nothing was started.
+  EngineError error{ "unreadable error response", true };
   if (aObject.is_object() && aObject.contains("error") && aObject["error"].is_object()) {
     error.m_message = aObject["error"].value("message", "");
     error.m_started = aObject.value("x_started", true);
@@ -80,7 +80,7 @@
   try {
     return EngineErrorFromJson(json::parse(aBody));
   } catch (const json::exception&) {
-    return { "unreadable refusal", true };
+    return { "unreadable error response", true };
   }
 }
 
--- a/src/ferrytray/gate/fleet_queues.cpp
+++ b/src/ferrytray/gate/fleet_queues.cpp
@@ -18,7 +18,7 @@
 bool FleetQueues::MustQueue(const std::string& aFleet) const
 {
   const auto queue = m_queues.find(aFleet);
-  // Who comes later must not pass those that are held.
+  // New requests must not overtake queued ones.
   if (queue != m_queues.end() && queue->second.m_queue.Size() > 0) {
     return true;
   }
--- a/src/ferrytray/gate/fleet_view.cpp
+++ b/src/ferrytray/gate/fleet_view.cpp
@@ -15,7 +15,7 @@
 constexpr base::Duration kWorkHistory = std::chrono::seconds(30);
 constexpr base::Duration kSameZoneLatency = std::chrono::microseconds(500);
 constexpr base::Duration kCrossZoneLatency = std::chrono::milliseconds(2);
-constexpr double kDefaultTokensPerSecond = 10000; // tokens a second, until the first report
+constexpr double kDefaultTokensPerSecond = 10000; // until the first load report
 constexpr base::Duration kMaxReportAge = std::chrono::seconds(10);
 
 } // namespace
@@ -35,7 +35,7 @@
     if (endpoint.m_host.m_leaving) {
       m_leaving.Add(name, endpoint.m_host.m_incarnation);
     }
-    // A swap or a new process empties the worker's cache.
+    // A weight swap or a restart empties the worker's cache.
     const std::string running = endpoint.m_host.m_incarnation + "@" + endpoint.m_load.m_version;
     std::string& before = m_runningVersions[name];
     if (before != running) {
@@ -46,7 +46,7 @@
   m_leaving.Prune(currentIncarnations);
   m_endpoints = std::move(aEndpoints);
   m_updatedAt = aNow;
-  // Before any load is known every estimate would be a guess.
+  // Without any load report, routing estimates have no basis.
   const bool anyReport =
     std::any_of(m_endpoints.begin(), m_endpoints.end(), [](const auto& aEndpoint) {
       return aEndpoint.m_host.m_role == wire::Role::Engine &&
@@ -164,7 +164,7 @@
     Candidate candidate{ &endpoint, ViewOf(endpoint, aNow) };
     const bool runsOtherVersion =
       !endpoint.m_load.m_version.empty() && endpoint.m_load.m_version != aFleet.m_version;
-    // A worker of another version would refuse; it is swapped by the keepers, not by requests.
+    // A worker with a different version would reject the request; only keepers swap weights.
     candidate.m_view.m_usable =
       candidate.m_view.m_usable && !runsOtherVersion && !endpoint.m_load.m_swapping;
     candidate.m_view.m_cachedBlocks = m_hints.CachedPrefix(endpoint.m_host.m_name, aBlocks);
@@ -199,7 +199,7 @@
       continue;
     }
     const auto open = m_openCalls.find(endpoint.m_host.m_name);
-    // Another zone's endpoint is worth it only when this zone's are busy.
+    // Prefers this zone: an endpoint in another zone counts as having 4 more open calls.
     const int zonePenalty = endpoint.m_host.m_zone == m_zone ? 0 : 4;
     const int calls = (open == m_openCalls.end() ? 0 : open->second) + zonePenalty;
     if (best == nullptr || calls < fewestCalls) {
--- a/src/ferrytray/gate/gate.cpp
+++ b/src/ferrytray/gate/gate.cpp
@@ -6,11 +6,11 @@
 #include <nlohmann/json.hpp> // for json
 
 #include "ferrytray/control/half_rule.hpp"       // for MayServe
-#include "ferrytray/gate/cache_event_poller.hpp" // for CacheWatch
+#include "ferrytray/gate/cache_event_poller.hpp" // for CacheEventPoller
 #include "ferrytray/gate/model_exchange.hpp"     // for ModelExchange
-#include "ferrytray/gate/operator_requests.hpp"  // for AnswerOperator
+#include "ferrytray/gate/operator_requests.hpp"  // for HandleOperatorRequest
 #include "ferrytray/gate/service_exchange.hpp"   // for ServiceExchange
-#include "ferrytray/gate/ticket_transfer.hpp"    // for TicketMover
+#include "ferrytray/gate/ticket_transfer.hpp"    // for TicketTransfer
 #include "ferrytray/telemetry/log_line.hpp"      // for LogLine
 #include "ferrytray/wire/half_view.hpp"          // for HalfViewOf
 
@@ -25,10 +25,12 @@
 constexpr base::Duration kSecond = std::chrono::seconds(1);
 constexpr base::Duration kDrainPoll = std::chrono::milliseconds(20);
 constexpr std::size_t kMaxRequestId = 64;
-// What the server reads before it gives up without an answer; under it the answer is numbered.
+// The HTTP server drops bodies above this multiple of the limit without a response; up to it the
+// gate responds with an error code.
 constexpr std::size_t kServerBodyLimitFactor = 4;
 
-/// The caller's X-Request-Id if it is a plain word, else a new one.
+/// The caller's X-Request-Id if it is short and only has letters, digits, '-' and '_', else a new
+/// one.
 std::string RequestIdOf(const HttpRequest& aRequest)
 {
   const std::string_view given = aRequest.Header("X-Request-Id");
@@ -104,7 +106,7 @@
     telemetry::LogLine("drain_begins").Add("open", m_core.m_openWork);
     m_draining = true;
     m_drainDone = std::move(aDone);
-    // Not ready, but still serving, until the balancer has had time to notice.
+    // Reports not ready but still serves until the load balancer has noticed.
     m_drainTimer = m_core.m_loop.After(m_core.m_options.m_drainWait, [this] { WaitForStreams(); });
   }
 
@@ -120,15 +122,15 @@
       m_transferringTickets = true;
       m_ticketTransfer.TransferToPeer([this] {
         telemetry::LogLine("drain_ends").Add("open", m_core.m_openWork);
-        // Requests that came after the freeze were refused at once; their answers still go out.
+        // Time to send the error responses of requests that were rejected after the freeze.
         m_drainTimer = m_core.m_loop.After(kSecond, m_drainDone);
       });
     });
   }
 
-  // --- news from the keeper ----------------------------------------------------------------
+  // --- updates from the keeper -------------------------------------------------------------
 
-  /// Only what changed: a change costs its own size.
+  /// Gets only changed documents, so the cost depends on the size of the change.
   void OnDocument(const config::Document& aDocument)
   {
     const base::TimePoint now = base::MonotonicNow();
@@ -166,7 +168,7 @@
   void RunPeriodicTasks()
   {
     m_core.m_tickets.Expire(base::MonotonicNow());
-    // A moving average, so that shares do not jump with every burst.
+    // Exponential moving average, so that shares do not follow every burst.
     constexpr double kSmoothing = 0.7;
     for (auto it = m_demand.begin(); it != m_demand.end();) {
       const auto demand = static_cast<double>(m_core.m_limiter.TakeDemand(it->first));
@@ -197,16 +199,16 @@
   {
     if (aRequest.m_body.size() > m_core.m_options.m_maxBodyBytes) {
       return base::Fail(ErrorCode::BodyTooLarge,
-                        "the body is over " + std::to_string(m_core.m_options.m_maxBodyBytes) +
+                        "the body exceeds " + std::to_string(m_core.m_options.m_maxBodyBytes) +
                           " bytes");
     }
     if (aRequest.HeaderBytes() > m_core.m_options.m_maxHeaderBytes) {
       return base::Fail(ErrorCode::HeaderTooLarge,
-                        "the headers are over " +
-                          std::to_string(m_core.m_options.m_maxHeaderBytes) + " bytes");
+                        "the headers exceed " + std::to_string(m_core.m_options.m_maxHeaderBytes) +
+                          " bytes");
     }
     if (!m_core.m_keeper->HasConfig()) {
-      return base::Fail(ErrorCode::NotReady, "no configuration is in force yet");
+      return base::Fail(ErrorCode::NotReady, "no configuration has been applied yet");
     }
     auto requestOptions = ParseRequestOptions(aRequest);
     if (!requestOptions) {
@@ -215,7 +217,7 @@
     const config::ClientAccount* account =
       m_core.m_keeper->Registry().AccountByKey(base::Sha256Hex(requestOptions->m_apiKey));
     if (account == nullptr) {
-      return RejectUnknown(ErrorCode::UnknownKey, "the key belongs to no client account");
+      return RejectUnknown(ErrorCode::UnknownKey, "the API key belongs to no client account");
     }
     m_demand.try_emplace(account->m_name, 0);
     if (aRequest.m_path == "/v1/tickets") {
@@ -227,7 +229,7 @@
     return ServeService(aRequest, aReply, aId, *requestOptions, *account);
   }
 
-  /// What looks unknown may be in a configuration that this gate has not heard of.
+  /// Rejects an unknown name, as retryable if a newer configuration may contain it.
   [[nodiscard]] base::Result<void> RejectUnknown(ErrorCode aCode, const std::string& aMessage) const
   {
     if (!m_core.m_keeper->MayBeBehind(base::MonotonicNow())) {
@@ -257,7 +259,7 @@
     return {};
   }
 
-  /// Whether this half may serve what a rule covers.
+  /// Checks that this half owns the rule's fleet or client account.
   base::Result<void> CheckOwner(const config::HalfRule* aRule) const
   {
     if (aRule == nullptr) {
@@ -273,7 +275,7 @@
                                          kSecond });
   }
 
-  /// Hand-overs that this gate refuses new work of and has none open of.
+  /// Rules being handed over of which this gate has no open work left.
   [[nodiscard]] std::vector<std::string> DrainedRules() const
   {
     std::vector<std::string> drained;
@@ -334,7 +336,7 @@
   {
     const config::Service* service = m_core.m_keeper->Registry().ServiceByPath(aRequest.m_path);
     if (service == nullptr) {
-      return RejectUnknown(ErrorCode::UnknownPath, "no service serves this path");
+      return RejectUnknown(ErrorCode::UnknownPath, "no service is configured for this path");
     }
     const auto owner = CheckOwner(m_core.m_keeper->Registry().RuleForAccount(aAccount.m_name));
     if (!owner) {
--- a/src/ferrytray/gate/gate_core.cpp
+++ b/src/ferrytray/gate/gate_core.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kHintBlocksPerWorker = 2048; // 93 workers of a zone: 21 MB
+constexpr std::size_t kHintBlocksPerWorker = 2048; // 21 MB for a zone of 93 workers
 constexpr std::size_t kMaxTrackedContexts = 50000;
 constexpr std::size_t kMaxLoggedDecisions = 2000;
 
--- a/src/ferrytray/gate/keeper_connection.cpp
+++ b/src/ferrytray/gate/keeper_connection.cpp
@@ -12,7 +12,7 @@
 
 constexpr base::Duration kReconnectDelay = std::chrono::milliseconds(250);
 constexpr base::Duration kReportInterval = std::chrono::milliseconds(250);
-/// An answer to an older question tells nothing that is of use: 16 s with one each 250 ms.
+/// Covers 16 s at one question per 250 ms; replies to older questions are of no use.
 constexpr std::size_t kMaxPendingQuestions = 64;
 
 } // namespace
@@ -74,7 +74,7 @@
 {
   const std::uint64_t since = m_lastQuestion - aAge.m_question;
   if (aAge.m_question > m_lastQuestion || since >= m_questionSentAt.size()) {
-    return; // in answer to one that was sent too long ago
+    return; // reply to a question that is no longer tracked
   }
   const base::TimePoint configKnownAt =
     m_questionSentAt[since] - std::chrono::milliseconds(aAge.m_ageMillis);
--- a/src/ferrytray/gate/model_exchange.cpp
+++ b/src/ferrytray/gate/model_exchange.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp> // for json
 
 #include "ferrytray/blocks/chain.hpp"            // for ChainBlocks
-#include "ferrytray/gate/request_forwarding.hpp" // for PassToGate
+#include "ferrytray/gate/request_forwarding.hpp" // for ForwardRequest
 #include "ferrytray/limits/admission.hpp"        // for CheckDeadline
 
 namespace ferrytray::gate {
@@ -129,7 +129,7 @@
       self->Route();
     });
   if (m_queuedId == 0) {
-    Fail(ErrorCode::QueueFull, "too many requests wait already", kRetryAfter);
+    Fail(ErrorCode::QueueFull, "the queue of the fleet is full", kRetryAfter);
   }
   return true;
 }
@@ -141,7 +141,7 @@
   }
   if (m_core.m_crashes.IsQuarantined(m_requestKey)) {
     Fail(ErrorCode::RequestQuarantined,
-         "requests like this one end the endpoints that run them",
+         "identical requests have crashed the endpoints that ran them",
          kRetryAfter);
     return;
   }
@@ -164,7 +164,7 @@
   if (!choice) {
     Record(candidates, plans, "");
     Fail(ErrorCode::NoEndpoint,
-         "no worker of fleet '" + m_call.m_fleet.m_name + "' can be used",
+         "fleet '" + m_call.m_fleet.m_name + "' has no usable worker",
          kRetryAfter);
     return;
   }
@@ -242,8 +242,8 @@
   for (const base::Digest128& block : m_blocks) {
     names.push_back(base::ToHex(block));
   }
-  // Among equals the engine serves who arrived here first, so that a restored request does not
-  // lose its place to the time of its import.
+  // Within a priority the engine orders requests by their arrival at the gate, so that a request
+  // does not lose its place while its context is imported.
   const auto arrival = static_cast<std::uint64_t>(m_call.m_arrival.time_since_epoch().count());
   const std::uint64_t mask = (std::uint64_t{ 1 } << kPriorityShift) - 1;
   const std::uint64_t priority =
@@ -290,7 +290,7 @@
     m_core.m_metrics.Observe("first_token_seconds{fleet=\"" + m_call.m_fleet.m_name + "\"}",
                              seconds);
     if (m_call.m_model.m_stream) {
-      // The deadline is for the first token of a stream, and for the whole of other answers.
+      // The deadline of a stream applies to its first token, that of other responses to the end.
       m_deadlineTimer.reset();
     }
   }
@@ -299,7 +299,7 @@
     m_core.m_metrics.Count("slow_callers_dropped_total");
     m_attempt->Cancel();
     m_mayHaveRun = true;
-    Fail(ErrorCode::DeadlineExceeded, "the answer was not read");
+    Fail(ErrorCode::DeadlineExceeded, "the caller did not read the response fast enough");
   }
 }
 
--- a/src/ferrytray/gate/model_exchange_end.cpp
+++ b/src/ferrytray/gate/model_exchange_end.cpp
@@ -1,5 +1,5 @@
-// How a prompt's request ends: what the engine's answer leads to, another try, the caller's own
-// end.
+// ModelExchange: outcome of an attempt, retries, and the end of the request by failure, deadline or
+// disconnect.
 #include "ferrytray/gate/model_exchange.hpp"
 
 #include <algorithm> // for min, max
@@ -63,7 +63,9 @@
     m_core.m_keeper->ReportNow();
   }
   if (!RetryIfAllowed(RunState::NotRun)) {
-    Fail(ErrorCode::EndpointRefused, "the worker did not start: " + aResult.m_message, kRetryAfter);
+    Fail(ErrorCode::EndpointRefused,
+         "the worker did not start the request: " + aResult.m_message,
+         kRetryAfter);
   }
 }
 
@@ -72,7 +74,7 @@
   m_mayHaveRun = true;
   if (!RetryIfAllowed(RunState::Unknown)) {
     Fail(ErrorCode::VersionMismatch,
-         "the worker ran another weight version; its answer was dropped",
+         "the worker ran a different weight version; its response was discarded",
          kRetryAfter);
   }
 }
@@ -83,7 +85,7 @@
   if (aResult.m_connectionClosed) {
     m_core.m_crashes.OnConnectionLost(m_requestKey, EngineIncarnation(), m_sentAt);
   }
-  // Another run may word its answer differently, so text that was delivered cannot be continued.
+  // A second run may generate different text, so a partly delivered response cannot be continued.
   const bool delivered = m_answer.HasText();
   if (delivered || !RetryIfAllowed(RunState::Unknown)) {
     Fail(ErrorCode::EndpointBroke, aResult.m_message, kRetryAfter);
@@ -154,7 +156,7 @@
     m_attempt->Cancel();
   }
   m_mayHaveRun = run == RunState::Unknown;
-  Fail(ErrorCode::DeadlineExceeded, "the deadline passed");
+  Fail(ErrorCode::DeadlineExceeded, "the deadline was exceeded");
 }
 
 void ModelExchange::EndWork()
--- a/src/ferrytray/gate/once_guard.cpp
+++ b/src/ferrytray/gate/once_guard.cpp
@@ -43,7 +43,7 @@
 
 void OnceGuard::Resolve(const OnceDecision& aDecision)
 {
-  // Taken out first: the call holds the request, which holds this guard.
+  // Moved out first, to break the cycle: the callback owns the exchange, which owns this guard.
   const auto onDecision = std::exchange(m_onDecision, nullptr);
   if (onDecision) {
     onDecision(aDecision);
@@ -73,13 +73,15 @@
 
 OnceDecision OnceGuard::ForwardToIncarnation(const std::string& aIncarnation) const
 {
-  // Only a known member is asked: an address from a caller's token would be a way in.
+  // Forwards only to known members; an address taken from a caller's token would let callers
+  // direct requests to arbitrary hosts.
   const membership::Member* holder = m_core.m_keeper->FindTicketHolder(aIncarnation);
   const bool canForward =
     holder != nullptr && !m_requestOptions.m_forwarded && holder->m_host != m_core.m_options.m_host;
   if (!canForward) {
-    return MakeFailure(
-      ErrorCode::TicketUnknown, RunState::Unknown, "the gate that would know is gone");
+    return MakeFailure(ErrorCode::TicketUnknown,
+                       RunState::Unknown,
+                       "the gate that holds the state of this request is unavailable");
   }
   return ForwardTo{ holder->m_gate };
 }
@@ -109,9 +111,10 @@
     Resolve(DecideLostClaim(lost->m_holder));
     return;
   }
-  Resolve(MakeFailure(ErrorCode::ClaimLogUnavailable,
-                      RunState::NotRun,
-                      "the platform's log cannot settle the key now; nothing was run"));
+  Resolve(MakeFailure(
+    ErrorCode::ClaimLogUnavailable,
+    RunState::NotRun,
+    "the platform's log cannot settle the idempotency key now; the request was not run"));
 }
 
 OnceDecision OnceGuard::DecideLostClaim(const once::LiveClaim& aHolder) const
@@ -119,26 +122,28 @@
   if (aHolder.m_claim.m_request != m_contentDigest) {
     return MakeFailure(ErrorCode::KeyReusedForOtherRequest,
                        RunState::NotRun,
-                       "the key was used for another request");
+                       "the idempotency key was used for a different request");
   }
   if (const auto kept = m_core.m_claims.FindResponse(m_keyDigest)) {
     return ReplayResponse{ *kept };
   }
   const bool heldHere = aHolder.m_claim.m_holder == m_core.m_options.m_incarnation;
   if (heldHere && !aHolder.m_done) {
-    return MakeFailure(ErrorCode::ClaimPending, RunState::Unknown, "the request is being run");
+    return MakeFailure(
+      ErrorCode::ClaimPending, RunState::Unknown, "the request is still in progress");
   }
   if (heldHere) {
     return MakeFailure(ErrorCode::ClaimOutcomeUnknown,
                        RunState::Unknown,
-                       "the request has ended and its answer is gone");
+                       "the request has ended and its response is no longer stored");
   }
   const OnceDecision forwardTo = ForwardToIncarnation(aHolder.m_claim.m_holder);
   if (std::holds_alternative<ForwardTo>(forwardTo)) {
     return forwardTo;
   }
-  return MakeFailure(
-    ErrorCode::ClaimOutcomeUnknown, RunState::Unknown, "the gate that ran the request is gone");
+  return MakeFailure(ErrorCode::ClaimOutcomeUnknown,
+                     RunState::Unknown,
+                     "the gate that ran the request is unavailable");
 }
 
 void OnceGuard::Finish(const once::KeptAnswer& aAnswer)
--- a/src/ferrytray/gate/operator_requests.cpp
+++ b/src/ferrytray/gate/operator_requests.cpp
@@ -67,7 +67,7 @@
     const std::string found = aCore.m_decisions.Explain(path.substr(kExplainPrefix.size()));
     return SendText(*aReply,
                     found.empty() ? 404 : 200,
-                    found.empty() ? "no such request is remembered\n" : found);
+                    found.empty() ? "no decision is recorded for this request\n" : found);
   }
   return false;
 }
--- a/src/ferrytray/gate/request_forwarding.cpp
+++ b/src/ferrytray/gate/request_forwarding.cpp
@@ -1,12 +1,12 @@
 #include "ferrytray/gate/request_forwarding.hpp"
 
-#include "ferrytray/gate/response_format.hpp" // for SendFailure
+#include "ferrytray/gate/response_format.hpp" // for SendError
 
 namespace ferrytray::gate {
 
 namespace {
 
-/// One request on its way through this gate to another.
+/// State of a request that is being forwarded.
 struct ForwardedRequest
 {
   std::shared_ptr<net::HttpReply> m_reply;
@@ -47,9 +47,9 @@
 void OnForwardEnd(ForwardedRequest& aForwarded, const net::ClientOutcome& aOutcome)
 {
   const bool complete = aOutcome.m_end == net::WireEnd::Complete;
-  // The other gate may have run it before, so even a request that was not sent is not "not run".
+  // The other gate may have run it earlier, so the run state is unknown even if nothing was sent.
   const base::Failure failure{ base::ErrorCode::TicketUnknown,
-                               "the gate that would know did not answer",
+                               "the gate that holds the state of this request did not respond",
                                base::RunState::Unknown,
                                {} };
   if (aForwarded.m_streaming) {
@@ -79,7 +79,8 @@
   request.m_headers = ForwardedHeaders(aRequest, aRequestId);
   request.m_body = aRequest.m_body;
   request.m_timeout = aCore.m_options.m_maxDeadline;
-  // The home gate sees to it that nothing runs twice, but a resend would be refused as in use.
+  // The other gate prevents a second run, but it would reject a resend by libcurl as still in
+  // progress.
   request.m_ownConnection = true;
   auto forwarded =
     std::make_shared<ForwardedRequest>(ForwardedRequest{ std::move(aReply), aRequestId });
--- a/src/ferrytray/gate/service_exchange.cpp
+++ b/src/ferrytray/gate/service_exchange.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm> // for min
 
-#include "ferrytray/gate/request_forwarding.hpp" // for PassToGate
-#include "ferrytray/gate/response_format.hpp"    // for SendFailure
+#include "ferrytray/gate/request_forwarding.hpp" // for ForwardRequest
+#include "ferrytray/gate/response_format.hpp"    // for SendError
 #include "ferrytray/telemetry/log_line.hpp"      // for LogLine
 
 namespace ferrytray::gate {
@@ -18,7 +18,7 @@
 constexpr base::Duration kExpectedCallTime = std::chrono::milliseconds(50);
 constexpr base::Duration kConnectTimeout = std::chrono::seconds(1);
 
-/// Whether a plain service said clearly that it did not start.
+/// Whether the service states explicitly that it did not start the request.
 bool ReportsNotStarted(const net::ClientOutcome& aOutcome, const std::string& aBody)
 {
   return aOutcome.m_status == kUnavailable &&
@@ -102,7 +102,7 @@
   const base::TimePoint now = base::MonotonicNow();
   if (m_core.m_crashes.IsQuarantined(m_requestKey)) {
     Fail(ErrorCode::RequestQuarantined,
-         "requests like this one end the endpoints that run them",
+         "identical requests have crashed the endpoints that ran them",
          m_mayHaveRun ? RunState::Unknown : RunState::NotRun);
     return;
   }
@@ -110,7 +110,7 @@
     m_core.m_view.PickService(m_call.m_service.m_name, m_tried, now);
   if (endpoint == nullptr) {
     Fail(ErrorCode::NoEndpoint,
-         "no endpoint of the service can be used",
+         "the service has no usable endpoint",
          m_mayHaveRun ? RunState::Unknown : RunState::NotRun);
     return;
   }
@@ -133,7 +133,7 @@
   request.m_body = m_call.m_http.m_body;
   request.m_timeout = std::max<base::Duration>(m_deadline - now, std::chrono::milliseconds(1));
   request.m_connectTimeout = kConnectTimeout;
-  // libcurl resends on a reused connection by itself; a call that may not be repeated gets its own.
+  // libcurl resends on reused connections by itself, so a non-idempotent call gets its own.
   request.m_ownConnection = !Idempotent();
   m_core.m_view.BeginService(name);
   const auto self = shared_from_this();
@@ -166,12 +166,12 @@
   }
   const RunState overall = m_mayHaveRun ? RunState::Unknown : RunState::NotRun;
   if (aOutcome.m_timedOut && !notSent) {
-    Fail(ErrorCode::DeadlineExceeded, "the service did not answer in time", overall);
+    Fail(ErrorCode::DeadlineExceeded, "the service did not respond in time", overall);
   } else if (notSent) {
-    Fail(ErrorCode::EndpointUnreachable, "the service cannot be reached", overall);
+    Fail(ErrorCode::EndpointUnreachable, "the service is unreachable", overall);
   } else {
     Fail(refused ? ErrorCode::EndpointRefused : ErrorCode::EndpointBroke,
-         "the service's answer broke",
+         "the service did not complete the response",
          overall);
   }
 }
--- a/src/ferrytray/gate/ticket_transfer.cpp
+++ b/src/ferrytray/gate/ticket_transfer.cpp
@@ -46,7 +46,7 @@
       AcceptTable(std::get<wire::TicketHandover>(*frame), *channel);
     }
   });
-  // The channel keeps itself alive while it reads.
+  // The channel owns itself while it is reading.
 }
 
 void TicketTransfer::AcceptTable(const wire::TicketHandover& aTable, net::FrameChannel& aChannel)
