--- a/include/ferrytray/gate/crash_log_client.hpp
+++ b/include/ferrytray/gate/crash_log_client.hpp
@@ -37,7 +37,7 @@
 private:
   void OnPage(const wire::LogPage& aPage);
   /// Queues the tracker's notices from that offset on for the log.
-  void PublishSince(quarantine::NoticeOffset aFrom);
+  void QueueNoticesSince(quarantine::NoticeOffset aFrom);
   void Flush();
 
   net::Loop& m_loop;
--- a/include/ferrytray/gate/engine_event_parser.hpp
+++ b/include/ferrytray/gate/engine_event_parser.hpp
@@ -7,7 +7,7 @@
 #include <variant>     // for variant
 #include <vector>      // for vector
 
-#include "ferrytray/gate/response_format.hpp" // for TokenUsage
+#include "ferrytray/gate/answer_format.hpp" // for TokenUsage
 
 namespace ferrytray::gate {
 
--- a/include/ferrytray/gate/model_exchange.hpp
+++ b/include/ferrytray/gate/model_exchange.hpp
@@ -5,13 +5,13 @@
 #include <string> // for string
 #include <vector> // for vector
 
-#include "ferrytray/gate/context_exporter.hpp" // for ContextExporter
-#include "ferrytray/gate/context_restore.hpp"  // for StoreLookupResult
-#include "ferrytray/gate/engine_attempt.hpp"   // for EngineAttempt
-#include "ferrytray/gate/fleet_queues.hpp"     // for FleetQueues
-#include "ferrytray/gate/once_guard.hpp"       // for OnceGuard
-#include "ferrytray/gate/response_writer.hpp"  // for ResponseWriter
-#include "ferrytray/routing/choose.hpp"        // for Choice
+#include "ferrytray/gate/context_restore.hpp" // for StoreLookupResult
+#include "ferrytray/gate/engine_attempt.hpp"  // for EngineAttempt
+#include "ferrytray/gate/exporter.hpp"        // for ContextExporter
+#include "ferrytray/gate/fleet_queues.hpp"    // for FleetQueues
+#include "ferrytray/gate/once_guard.hpp"      // for OnceGuard
+#include "ferrytray/gate/response_writer.hpp" // for ResponseWriter
+#include "ferrytray/routing/choose.hpp"       // for Choice
 
 namespace ferrytray::gate {
 
@@ -81,7 +81,7 @@
   }
   [[nodiscard]] routing::RequestShape Shape() const;
   [[nodiscard]] bool Idempotent() const;
-  [[nodiscard]] base::RunState RunSoFar() const;
+  [[nodiscard]] base::RunState OverallRunState() const;
 
   GateCore& m_core;
   ExchangeServices m_services;
--- a/include/ferrytray/gate/response_writer.hpp
+++ b/include/ferrytray/gate/response_writer.hpp
@@ -5,8 +5,8 @@
 #include <optional>   // for optional
 #include <string>     // for string
 
-#include "ferrytray/gate/response_format.hpp" // for TokenUsage, ResponseMetadata
-#include "ferrytray/once/ticket_table.hpp"    // for KeptAnswer
+#include "ferrytray/gate/answer_format.hpp" // for TokenUsage, ResponseMetadata
+#include "ferrytray/once/ticket_table.hpp"  // for KeptAnswer
 
 namespace ferrytray::gate {
 
--- a/src/ferrytray/gate/response_format.cpp
+++ b/src/ferrytray/gate/answer_format.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/response_format.hpp"
+#include "ferrytray/gate/answer_format.hpp"
 
 #include <nlohmann/json.hpp> // for json
 
--- a/src/ferrytray/gate/cache_event_poller.cpp
+++ b/src/ferrytray/gate/cache_event_poller.cpp
@@ -10,14 +10,14 @@
 
 using nlohmann::json;
 
-constexpr base::Duration kPollEvery = std::chrono::milliseconds(500);
-constexpr base::Duration kTimeout = std::chrono::seconds(2);
+constexpr base::Duration kPollInterval = std::chrono::milliseconds(500);
+constexpr base::Duration kRequestTimeout = std::chrono::seconds(2);
 
 net::ClientRequest Get(const std::string& aAddress, const std::string& aPath)
 {
   net::ClientRequest request;
   request.m_url = "http://" + aAddress + aPath;
-  request.m_timeout = kTimeout;
+  request.m_timeout = kRequestTimeout;
   return request;
 }
 
@@ -49,15 +49,15 @@
 
 void CacheEventPoller::Start()
 {
-  m_timer = m_core.m_loop.Every(kPollEvery, [this] { Poll(); });
+  m_timer = m_core.m_loop.Every(kPollInterval, [this] { Poll(); });
 }
 
 void CacheEventPoller::Poll()
 {
   for (const wire::EndpointStatus& endpoint : m_core.m_view.Endpoints()) {
-    const bool own = endpoint.m_host.m_zone == m_core.m_options.m_zone;
-    const bool engine = endpoint.m_host.m_role == wire::Role::Engine;
-    if (own && engine && m_inFlight.insert(endpoint.m_host.m_name).second) {
+    const bool sameZone = endpoint.m_host.m_zone == m_core.m_options.m_zone;
+    const bool isEngine = endpoint.m_host.m_role == wire::Role::Engine;
+    if (sameZone && isEngine && m_inFlight.insert(endpoint.m_host.m_name).second) {
       PollEvents(endpoint.m_host.m_name, endpoint.m_host.m_address);
     }
   }
--- a/src/ferrytray/gate/crash_log_client.cpp
+++ b/src/ferrytray/gate/crash_log_client.cpp
@@ -104,24 +104,24 @@
     .Add("request_key", base::ToHex(aRequest))
     .Add("endpoint", aEndpointIncarnation)
     .Add("quarantined", m_tracker.IsQuarantined(aRequest) ? "yes" : "no");
-  PublishSince(before);
+  QueueNoticesSince(before);
 }
 
 void CrashLogClient::OnCompleteResponse(const quarantine::RequestKey& aRequest)
 {
   const quarantine::NoticeOffset before = m_tracker.Notices().End();
   m_tracker.OnCompleteAnswer(aRequest);
-  PublishSince(before);
+  QueueNoticesSince(before);
 }
 
 void CrashLogClient::OnReply(const std::string& aEndpointIncarnation, base::TimePoint aSentAt)
 {
   const quarantine::NoticeOffset before = m_tracker.Notices().End();
   m_tracker.OnEndpointReply(EndpointKeyOf(aEndpointIncarnation), aSentAt);
-  PublishSince(before);
+  QueueNoticesSince(before);
 }
 
-void CrashLogClient::PublishSince(quarantine::NoticeOffset aFrom)
+void CrashLogClient::QueueNoticesSince(quarantine::NoticeOffset aFrom)
 {
   for (const CrashNotice& notice : m_tracker.Notices().Since(aFrom, kMaxPendingNotices)) {
     if (m_pendingNotices.size() < kMaxPendingNotices) {
--- a/src/ferrytray/gate/engine_attempt.cpp
+++ b/src/ferrytray/gate/engine_attempt.cpp
@@ -108,13 +108,13 @@
   if (m_ended) {
     return;
   }
-  const bool first = m_resumeCount == 0;
-  if (first && aOutcome.m_end == net::WireEnd::NotSent) {
+  const bool firstTransfer = m_resumeCount == 0;
+  if (firstTransfer && aOutcome.m_end == net::WireEnd::NotSent) {
     End(AttemptNotStarted{ aOutcome.m_detail, false });
     return;
   }
-  const bool refused = aOutcome.m_end == net::WireEnd::Complete && aOutcome.m_status != kOk;
-  if (refused && first) {
+  const bool rejected = aOutcome.m_end == net::WireEnd::Complete && aOutcome.m_status != kOk;
+  if (rejected && firstTransfer) {
     const EngineError error = ParseEngineError(m_errorBody);
     if (error.m_started) {
       End(AttemptInterrupted{ error.m_message, false });
@@ -123,9 +123,9 @@
     }
     return;
   }
-  if (refused || m_resumeCount >= kMaxResumes) {
+  if (rejected || m_resumeCount >= kMaxResumes) {
     End(AttemptInterrupted{ "the engine's stream was interrupted: " + aOutcome.m_detail,
-                            !refused && !aOutcome.m_timedOut });
+                            !rejected && !aOutcome.m_timedOut });
     return;
   }
   ++m_resumeCount;
--- a/src/ferrytray/gate/context_exporter.cpp
+++ b/src/ferrytray/gate/exporter.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/gate/context_exporter.hpp"
+#include "ferrytray/gate/exporter.hpp"
 
 #include <algorithm> // for max, min
 #include <span>      // for span
@@ -15,7 +15,7 @@
 
 constexpr base::Duration kExportTimeout = std::chrono::seconds(30);
 constexpr std::size_t kMaxQueuedExports = 256;
-constexpr std::size_t kChunkBlocks = 16; // bounds how long an import waits behind an export
+constexpr std::size_t kBlocksPerChunk = 16; // bounds how long an import waits behind an export
 constexpr base::Duration kLinkRetryDelay = std::chrono::milliseconds(100);
 
 net::ClientRequest Post(const std::string& aAddress, const std::string& aPath, const json& aBody)
@@ -40,15 +40,15 @@
   const routing::KeepCandidate context{ aJob.m_bytes,
                                         aJob.m_recomputeSeconds,
                                         base::Duration::zero() };
-  const bool keep = routing::ShouldExport(context, gaps, aJob.m_store.m_pressure, {});
+  const bool worthStoring = routing::ShouldExport(context, gaps, aJob.m_store.m_pressure, {});
   const double value = routing::KeepValue(context, gaps);
   telemetry::LogLine("keep")
     .Add("request", aJob.m_request)
     .Add("store", aJob.m_store.m_store)
     .Add("blocks", aJob.m_blocks.size())
     .Add("worth", value * 1e12)
-    .Add("export", keep ? "yes" : "no");
-  if (keep) {
+    .Add("export", worthStoring ? "yes" : "no");
+  if (worthStoring) {
     Enqueue({ std::move(aJob), value, 0 });
   }
 }
@@ -111,7 +111,7 @@
 {
   const std::string upload = m_core.NextAttemptId();
   const std::span<const base::Digest128> blocks(aJob.m_job.m_blocks);
-  const std::size_t count = std::min(kChunkBlocks, blocks.size() - aJob.m_exportedBlocks);
+  const std::size_t count = std::min(kBlocksPerChunk, blocks.size() - aJob.m_exportedBlocks);
   json names = json::array();
   for (const base::Digest128& block : blocks.subspan(aJob.m_exportedBlocks, count)) {
     names.push_back(base::ToHex(block));
--- a/src/ferrytray/gate/gate.cpp
+++ b/src/ferrytray/gate/gate.cpp
@@ -33,12 +33,12 @@
 /// one.
 std::string RequestIdOf(const HttpRequest& aRequest)
 {
-  const std::string_view given = aRequest.Header("X-Request-Id");
-  const bool wellFormed = std::all_of(given.begin(), given.end(), [](unsigned char aByte) {
+  const std::string_view header = aRequest.Header("X-Request-Id");
+  const bool wellFormed = std::all_of(header.begin(), header.end(), [](unsigned char aByte) {
     return std::isalnum(aByte) != 0 || aByte == '-' || aByte == '_';
   });
-  const bool fits = !given.empty() && given.size() <= kMaxRequestId;
-  return wellFormed && fits ? std::string(given) : base::RandomHex128();
+  const bool validLength = !header.empty() && header.size() <= kMaxRequestId;
+  return wellFormed && validLength ? std::string(header) : base::RandomHex128();
 }
 
 std::optional<CompletionKind> CompletionKindOf(const std::string& aPath)
--- a/src/ferrytray/gate/keeper_connection.cpp
+++ b/src/ferrytray/gate/keeper_connection.cpp
@@ -72,12 +72,12 @@
 
 void KeeperConnection::Handle(const wire::ConfigurationAge& aAge)
 {
-  const std::uint64_t since = m_lastQuestion - aAge.m_question;
-  if (aAge.m_question > m_lastQuestion || since >= m_questionSentAt.size()) {
+  const std::uint64_t index = m_lastQuestion - aAge.m_question;
+  if (aAge.m_question > m_lastQuestion || index >= m_questionSentAt.size()) {
     return; // reply to a question that is no longer tracked
   }
   const base::TimePoint configKnownAt =
-    m_questionSentAt[since] - std::chrono::milliseconds(aAge.m_ageMillis);
+    m_questionSentAt[index] - std::chrono::milliseconds(aAge.m_ageMillis);
   m_configKnownAt = std::max(m_configKnownAt.value_or(configKnownAt), configKnownAt);
 }
 
--- a/src/ferrytray/gate/model_exchange_end.cpp
+++ b/src/ferrytray/gate/model_exchange_end.cpp
@@ -38,9 +38,9 @@
   if (m_blocks.empty()) {
     return;
   }
-  const std::uint32_t found = aUsage.m_cached / m_call.m_fleet.m_blockTokens;
-  if (found < m_workerCachedBlocks) {
-    m_core.m_view.Hints().OnFound(m_worker, m_blocks, found);
+  const std::uint32_t cachedBlocks = aUsage.m_cached / m_call.m_fleet.m_blockTokens;
+  if (cachedBlocks < m_workerCachedBlocks) {
+    m_core.m_view.Hints().OnFound(m_worker, m_blocks, cachedBlocks);
   }
   m_core.m_view.Hints().OnRun(m_worker, m_blocks);
   const routing::RequestShape shape = Shape();
@@ -113,14 +113,14 @@
   return m_call.m_requestOptions.m_idempotent.value_or(!m_guard->StoresResponse());
 }
 
-RunState ModelExchange::RunSoFar() const
+RunState ModelExchange::OverallRunState() const
 {
   return m_mayHaveRun || m_attempt ? RunState::Unknown : RunState::NotRun;
 }
 
 void ModelExchange::Fail(ErrorCode aCode, const std::string& aMessage, base::Duration aRetryAfter)
 {
-  const base::Failure failure{ aCode, aMessage, RunSoFar(), aRetryAfter };
+  const base::Failure failure{ aCode, aMessage, OverallRunState(), aRetryAfter };
   telemetry::LogLine("request_failed")
     .Add("request", m_call.m_request)
     .Add("code", static_cast<int>(aCode))
@@ -142,7 +142,7 @@
     m_attempt->Cancel();
     m_mayHaveRun = true;
   }
-  m_guard->Fail(RunSoFar());
+  m_guard->Fail(OverallRunState());
   EndWork();
 }
 
@@ -151,7 +151,7 @@
   if (!m_open) {
     return;
   }
-  const RunState run = RunSoFar();
+  const RunState run = OverallRunState();
   if (m_attempt) {
     m_attempt->Cancel();
   }
--- a/src/ferrytray/gate/request_forwarding.cpp
+++ b/src/ferrytray/gate/request_forwarding.cpp
@@ -1,6 +1,6 @@
 #include "ferrytray/gate/request_forwarding.hpp"
 
-#include "ferrytray/gate/response_format.hpp" // for SendError
+#include "ferrytray/gate/answer_format.hpp" // for SendError
 
 namespace ferrytray::gate {
 
--- a/src/ferrytray/gate/service_exchange.cpp
+++ b/src/ferrytray/gate/service_exchange.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm> // for min
 
+#include "ferrytray/gate/answer_format.hpp"      // for SendError
 #include "ferrytray/gate/request_forwarding.hpp" // for ForwardRequest
-#include "ferrytray/gate/response_format.hpp"    // for SendError
 #include "ferrytray/telemetry/log_line.hpp"      // for LogLine
 
 namespace ferrytray::gate {
--- a/src/ferrytray/gate/ticket_transfer.cpp
+++ b/src/ferrytray/gate/ticket_transfer.cpp
@@ -29,11 +29,11 @@
 {
   const std::string ip = aChannel->RemoteIp();
   const auto& members = m_core.m_keeper->Members();
-  const bool known =
+  const bool isMember =
     std::any_of(members.begin(), members.end(), [&](const membership::Member& aMember) {
       return aMember.m_gossip.substr(0, aMember.m_gossip.rfind(':')) == ip;
     });
-  if (!known) {
+  if (!isMember) {
     m_core.m_metrics.Count("ticket_tables_refused_total");
     m_core.m_loop.Post([aChannel] { aChannel->Close(); });
     return;
