--- a/include/ferrytray/gate/context_log.hpp
+++ b/include/ferrytray/gate/context_tracker.hpp
@@ -8,21 +8,21 @@
 #include <unordered_map> // for unordered_map
 
 #include "ferrytray/base/digest.hpp"       // for Digest128
-#include "ferrytray/routing/retention.hpp" // for ReturnHistogram
+#include "ferrytray/routing/retention.hpp" // for ReturnGaps
 
 namespace ferrytray::gate {
 
-/// @brief When contexts were last seen here, and what that says of each account's return gaps.
-class ContextLog
+/// @brief Tracks when contexts were last seen at this gate, to estimate each account's return gaps.
+class ContextTracker
 {
 public:
-  explicit ContextLog(std::size_t aCapacity)
+  explicit ContextTracker(std::size_t aCapacity)
     : m_capacity(aCapacity)
   {
   }
 
-  /// @brief A request with this context came.
-  /// @return the gap since the last one, if it was seen here
+  /// @brief Records a request with this context.
+  /// @return the time since its last request, if the context is still tracked
   std::optional<base::Duration> OnRequest(const std::string& aAccount,
                                           const base::Digest128& aContext,
                                           base::TimePoint aNow);
@@ -32,16 +32,16 @@
   }
 
 private:
-  struct Seen
+  struct Entry
   {
     base::Digest128 m_context;
     std::string m_account;
-    base::TimePoint m_at;
+    base::TimePoint m_lastSeen;
   };
 
   std::size_t m_capacity;
-  std::list<Seen> m_recent;
-  std::unordered_map<base::Digest128, std::list<Seen>::iterator, base::DigestHash> m_byContext;
+  std::list<Entry> m_recent;
+  std::unordered_map<base::Digest128, std::list<Entry>::iterator, base::DigestHash> m_byContext;
   std::map<std::string, routing::ReturnHistogram> m_gaps;
 };
 
--- a/include/ferrytray/gate/fleet_view.hpp
+++ b/include/ferrytray/gate/fleet_view.hpp
@@ -17,20 +17,20 @@
 
 namespace ferrytray::gate {
 
-/// @brief What this gate knows of the endpoints: its keeper's word and its own experience.
+/// @brief State of the endpoints as the keeper reports it, adjusted by this gate's own requests.
 class FleetView
 {
 public:
   FleetView(std::string aZone, std::size_t aHintBlocks);
 
   void OnEndpoints(std::vector<wire::EndpointStatus> aEndpoints, base::TimePoint aNow);
-  /// @brief Work was sent to a worker; it is not in the reports yet.
+  /// @brief Work was sent to a worker and is not in its load report yet.
   void OnSent(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
-  /// @brief Work that was sent has been done, whatever the reports say yet.
-  void OnAnswered(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
-  /// @brief The endpoint refused or broke; it is passed over for a moment.
+  /// @brief Work sent earlier is done, even if the last load report still includes it.
+  void OnWorkDone(const std::string& aWorker, base::Duration aEngineTime, base::TimePoint aNow);
+  /// @brief The endpoint failed a request; excludes it for a short cooldown.
   void OnFailure(const std::string& aEndpoint, base::TimePoint aNow);
-  /// @brief The endpoint said itself that it leaves.
+  /// @brief The endpoint reported that it is leaving.
   void MarkLeaving(const std::string& aEndpoint);
 
   struct Candidate
@@ -39,38 +39,38 @@
     routing::WorkerView m_view;
   };
 
-  /// @brief The fleet's workers for a prompt, the homes of its context first.
-  /// @param aTried workers that this request has tried already
+  /// @brief The fleet's workers for a prompt, the home workers of its context first.
+  /// @param aTried workers to exclude because this request has already tried them
   [[nodiscard]] std::vector<Candidate> Candidates(const config::Fleet& aFleet,
                                                   std::span<const base::Digest128> aBlocks,
                                                   const std::set<std::string>& aTried,
                                                   base::TimePoint aNow) const;
-  /// @brief A live endpoint of a plain service, the least busy of this gate's.
+  /// @brief The usable endpoint of a service with the fewest open calls from this gate.
   [[nodiscard]] const wire::EndpointStatus* PickService(const std::string& aService,
                                                         const std::set<std::string>& aTried,
                                                         base::TimePoint aNow) const;
-  /// @brief The context's home stores in this zone (or any, if the zone has none).
+  /// @brief The context's home stores in this zone, or in any zone if this one has no store.
   [[nodiscard]] std::vector<const wire::EndpointStatus*> HomeStores(
     const base::Digest128& aContext) const;
-  /// @brief The shortest queue among a fleet's usable workers.
-  [[nodiscard]] std::optional<base::Duration> ShortestQueue(const std::string& aFleet,
-                                                            base::TimePoint aNow) const;
+  /// @brief The shortest queue wait among a fleet's usable workers.
+  [[nodiscard]] std::optional<base::Duration> ShortestQueueWait(const std::string& aFleet,
+                                                                base::TimePoint aNow) const;
 
   void BeginService(const std::string& aEndpoint) { ++m_openCalls[aEndpoint]; }
   void EndService(const std::string& aEndpoint);
   [[nodiscard]] const control::LeavingSet& Leaving() const { return m_leaving; }
   [[nodiscard]] const std::vector<wire::EndpointStatus>& Endpoints() const { return m_endpoints; }
   routing::CacheHints& Hints() { return m_hints; }
-  [[nodiscard]] bool Known() const { return m_known; }
+  [[nodiscard]] bool Ready() const { return m_ready; }
 
 private:
-  struct Sent
+  struct SentWork
   {
     base::TimePoint m_at;
     base::Duration m_engineTime;
   };
 
-  struct Answered
+  struct CompletedWork
   {
     base::TimePoint m_sentAt;
     base::TimePoint m_at;
@@ -79,19 +79,19 @@
 
   [[nodiscard]] routing::WorkerView ViewOf(const wire::EndpointStatus& aEndpoint,
                                            base::TimePoint aNow) const;
-  [[nodiscard]] bool Usable(const wire::EndpointStatus& aEndpoint, base::TimePoint aNow) const;
+  [[nodiscard]] bool IsUsable(const wire::EndpointStatus& aEndpoint, base::TimePoint aNow) const;
 
   std::string m_zone;
   std::vector<wire::EndpointStatus> m_endpoints;
-  base::TimePoint m_updated{};
-  std::map<std::string, std::deque<Sent>> m_sent;
-  std::map<std::string, std::deque<Answered>> m_answered;
-  std::map<std::string, base::TimePoint> m_failedUntil;
+  base::TimePoint m_updatedAt{};
+  std::map<std::string, std::deque<SentWork>> m_sentWork;
+  std::map<std::string, std::deque<CompletedWork>> m_completedWork;
+  std::map<std::string, base::TimePoint> m_cooldownUntil;
   std::map<std::string, int> m_openCalls;
-  std::map<std::string, std::string> m_runVersions;
+  std::map<std::string, std::string> m_runningVersions;
   control::LeavingSet m_leaving;
   routing::CacheHints m_hints;
-  bool m_known = false;
+  bool m_ready = false;
 };
 
 } // namespace ferrytray::gate
--- a/include/ferrytray/gate/once_guard.hpp
+++ b/include/ferrytray/gate/once_guard.hpp
@@ -6,65 +6,68 @@
 #include <string>     // for string
 #include <variant>    // for variant
 
-#include "ferrytray/gate/caller_request.hpp" // for CallerTerms
+#include "ferrytray/gate/caller_request.hpp" // for RequestOptions
 #include "ferrytray/gate/gate_core.hpp"      // for GateCore
 
 namespace ferrytray::gate {
 
-/// @brief Run the request here.
-struct RunHere
+/// @brief Run the request at this gate.
+struct RunLocally
 {
 };
-/// @brief Send the answer that was kept.
-struct ReplayAnswer
+/// @brief Send the stored response.
+struct ReplayResponse
 {
   once::StoredAnswer m_answer;
 };
-/// @brief Pass the request on to another gate, a known member.
-struct PassOn
+/// @brief Forward the request to the gate of a known member.
+struct ForwardTo
 {
   std::string m_address;
 };
 
-using OnceVerdict = std::variant<RunHere, ReplayAnswer, PassOn, base::Failure>;
+using OnceDecision = std::variant<RunLocally, ReplayResponse, ForwardTo, base::Failure>;
 
-/// @brief Sees to it that one request runs at most once: by ticket, by claim, or by being sent
-/// once.
+/// @brief Ensures that a request runs at most once: by its ticket, by a claim of its idempotency
+/// key, or, with neither, by being sent only once.
 class OnceGuard : public std::enable_shared_from_this<OnceGuard>
 {
 public:
   OnceGuard(GateCore& aCore,
-            const CallerTerms& aTerms,
+            const RequestOptions& aRequestOptions,
             std::string aAccount,
-            const base::Digest128& aContent);
+            const base::Digest128& aContentDigest);
 
-  /// @brief Decides what to do with the request; calls once, perhaps later.
-  void Begin(std::function<void(const OnceVerdict&)> aOnVerdict);
-  /// @brief The request ended with an answer.
+  /// @brief Decides what to do with the request; calls back once, possibly later.
+  void Begin(std::function<void(const OnceDecision&)> aOnDecision);
+  /// @brief The request ended with a response.
   void Finish(const once::StoredAnswer& aAnswer);
-  /// @brief The request ended without one.
+  /// @brief The request ended without a response.
   void Fail(base::RunState aRun);
-  /// @brief Whether the caller may come back for the answer, so that it is worth finishing.
-  [[nodiscard]] bool KeepsAnswer() const { return m_terms.m_ticket || m_terms.m_idempotencyKey; }
+  /// @brief Whether the response is stored for a retry, so that a run without a caller goes on.
+  [[nodiscard]] bool StoresResponse() const
+  {
+    return m_requestOptions.m_ticket || m_requestOptions.m_idempotencyKey;
+  }
 
 private:
-  void Tell(const OnceVerdict& aVerdict);
+  void Resolve(const OnceDecision& aDecision);
   void BeginTicket();
   void BeginClaim();
   void OnClaim(const once::ClaimAction& aAction);
-  [[nodiscard]] OnceVerdict VerdictFor(const once::RedeemForward& aElsewhere) const;
-  [[nodiscard]] OnceVerdict VerdictForHolder(const once::LiveClaim& aHolder) const;
-  [[nodiscard]] OnceVerdict PassOnTo(const std::string& aIncarnation) const;
+  [[nodiscard]] OnceDecision DecideRemoteTicket(const once::RedeemForward& aRemoteTicket) const;
+  [[nodiscard]] OnceDecision DecideLostClaim(const once::LiveClaim& aHolder) const;
+  [[nodiscard]] OnceDecision ForwardToIncarnation(const std::string& aIncarnation) const;
 
   GateCore& m_core;
-  CallerTerms m_terms;
+  RequestOptions m_requestOptions;
   std::string m_account;
-  base::Digest128 m_content;
-  base::Digest128 m_key;
+  base::Digest128 m_contentDigest;
+  base::Digest128 m_keyDigest;
   std::optional<base::Digest128> m_claim;
-  bool m_claimEnded = false; ///< settled against this request, perhaps at once
-  bool m_redeemed = false;
-  std::function<void(const OnceVerdict&)> m_onVerdict;
+  bool m_claimRejected = false; ///< lost or unsettled, possibly before Claim() returned
+  bool m_ticketRedeemed = false;
+  std::function<void(const OnceDecision&)> m_onDecision;
 };
 
 } // namespace ferrytray::gate
