--- a/include/ferrytray/keeper/endpoint_watch.hpp
+++ b/include/ferrytray/keeper/endpoint_watch.hpp
@@ -18,10 +18,10 @@
 class EndpointWatch
 {
 public:
-  using OnHosts = std::function<void(const std::vector<wire::ListedHost>& aEntryHosts)>;
+  using OnEntryHosts = std::function<void(const std::vector<wire::ListedHost>& aEntryHosts)>;
 
   EndpointWatch(net::Loop& aLoop, net::HttpClient& aHttp, const KeeperOptions& aOptions);
-  void Start(OnHosts aOnHosts);
+  void Start(OnEntryHosts aOnEntryHosts);
   /// @brief Any sign that an endpoint leaves.
   void MarkLeaving(const std::string& aEndpoint, const std::string& aIncarnation);
   /// @brief Another zone's keeper told of a load.
@@ -30,21 +30,21 @@
   /// others, so that the bytes a node spends do not grow with the hosts.
   void SetZoneHosts(std::vector<std::string> aHosts) { m_zoneHosts = std::move(aHosts); }
   /// @brief Polls every zone's engines while this host plans weight swaps.
-  void PollAllZones(bool aAll) { m_allZones = aAll; }
+  void PollAllZones(bool aEnabled) { m_pollAllZones = aEnabled; }
 
   /// @brief Endpoints with their loads; leaving ones are marked.
   [[nodiscard]] std::vector<wire::EndpointStatus> Endpoints(base::TimePoint aNow) const;
   /// @brief Digests of this zone's engines, a few at a time.
-  std::vector<membership::LoadDigest> NextDigests(std::size_t aCount, base::TimePoint aNow);
+  std::vector<membership::LoadDigest> NextLoadDigests(std::size_t aCount, base::TimePoint aNow);
   [[nodiscard]] const control::LeavingSet& Leaving() const { return m_leaving; }
 
 private:
-  struct Known
+  struct EndpointState
   {
     wire::ListedHost m_host;
     wire::LoadReport m_load;
     base::TimePoint m_reportedAt{};
-    bool m_polling = false;
+    bool m_loadPending = false;
   };
 
   void PollHostList();
@@ -56,17 +56,17 @@
   net::Loop& m_loop;
   net::HttpClient& m_http;
   KeeperOptions m_options;
-  OnHosts m_onHosts;
+  OnEntryHosts m_onEntryHosts;
   control::LeavingSet m_leaving;
-  std::map<std::string, Known> m_endpoints;
+  std::map<std::string, EndpointState> m_endpoints;
   [[nodiscard]] bool MustPoll(const wire::ListedHost& aEngine) const;
 
   std::vector<std::string> m_zoneHosts;
-  std::string m_listTag;
+  std::string m_hostListEtag;
   std::string m_digestCursor;
-  bool m_allZones = false;
-  bool m_listing = false;
-  net::TimerHandle m_listTimer;
+  bool m_pollAllZones = false;
+  bool m_hostListPending = false;
+  net::TimerHandle m_hostListTimer;
   net::TimerHandle m_loadTimer;
 };
 
--- a/include/ferrytray/keeper/half_controller.hpp
+++ b/include/ferrytray/keeper/half_controller.hpp
@@ -23,30 +23,30 @@
   void Start();
   /// @brief One round.
   /// @param aRules the rules in force
-  /// @param aListed entry hosts by the platform's list
+  /// @param aListedHosts entry hosts by the platform's list
   /// @param aMembers members heard of
-  /// @param aMine whether this host acts for the half
+  /// @param aIsResponsible whether this host acts for the half
   void OnRound(const std::vector<const config::HalfRule*>& aRules,
-               const std::set<std::string>& aListed,
+               const std::set<std::string>& aListedHosts,
                const std::vector<membership::Member>& aMembers,
-               bool aMine);
+               bool aIsResponsible);
   /// @brief What the log says of every rule.
   [[nodiscard]] wire::HalfUpdate Epochs() const;
   /// @brief Whether the stream was read to its end once.
-  [[nodiscard]] bool Known() const { return m_follower.CaughtUp(); }
+  [[nodiscard]] bool CaughtUp() const { return m_follower.CaughtUp(); }
 
 private:
   void OnPage(const wire::LogPage& aPage);
-  void Record(const char* aKind, const std::string& aRule, std::uint64_t aEpoch);
-  void AskOther(const config::HalfRule& aRule);
+  void AppendRecord(const char* aKind, const std::string& aRule, std::uint64_t aEpoch);
+  void QueryOtherHalf(const config::HalfRule& aRule);
   [[nodiscard]] wire::HalfEpochs EpochsOf(const std::string& aRule) const;
 
   net::HttpClient& m_http;
   wire::LogFollower m_follower;
   wire::LogClient m_appender;
   std::map<std::string, wire::HalfEpochs> m_epochs;
-  std::set<std::string> m_asking;
-  bool m_appending = false;
+  std::set<std::string> m_pendingQueries;
+  bool m_appendPending = false;
 };
 
 } // namespace ferrytray::keeper
--- a/include/ferrytray/keeper/keeper.hpp
+++ b/include/ferrytray/keeper/keeper.hpp
@@ -8,7 +8,7 @@
 #include "ferrytray/keeper/endpoint_watch.hpp"   // for EndpointWatch
 #include "ferrytray/keeper/half_controller.hpp"  // for HalfController
 #include "ferrytray/keeper/options.hpp"          // for KeeperOptions
-#include "ferrytray/keeper/share_board.hpp"      // for ShareBoard
+#include "ferrytray/keeper/share_calculator.hpp" // for ShareCalculator
 #include "ferrytray/keeper/swap_controller.hpp"  // for SwapController
 #include "ferrytray/membership/member_table.hpp" // for MemberTable
 #include "ferrytray/net/datagram.hpp"            // for DatagramSocket
--- a/include/ferrytray/keeper/operator_pages.hpp
+++ b/include/ferrytray/keeper/operator_pages.hpp
@@ -27,9 +27,9 @@
 class OperatorPages
 {
 public:
-  /// @param aOnDrained an endpoint was marked as leaving
-  OperatorPages(const OperatorView& aView, std::function<void()> aOnDrained);
-  void Answer(const net::HttpRequest& aRequest,
+  /// @param aOnDrainStarted an endpoint was marked as leaving
+  OperatorPages(const OperatorView& aView, std::function<void()> aOnDrainStarted);
+  void Handle(const net::HttpRequest& aRequest,
               net::HttpReply& aReply,
               const membership::MemberTable& aMembers);
 
@@ -39,7 +39,7 @@
   void Drain(const net::HttpRequest& aRequest, net::HttpReply& aReply);
 
   OperatorView m_view;
-  std::function<void()> m_onDrained;
+  std::function<void()> m_onDrainStarted;
 };
 
 } // namespace ferrytray::keeper
--- a/include/ferrytray/keeper/options.hpp
+++ b/include/ferrytray/keeper/options.hpp
@@ -21,12 +21,12 @@
   std::vector<net::Address>
     m_seeds; ///< peers' datagram addresses, for a start without the platform
   std::uint64_t m_incarnation = 0;
-  base::Duration m_round = std::chrono::milliseconds(500); ///< membership and shares
-  base::Duration m_loadPoll = std::chrono::milliseconds(200);
-  base::Duration m_hostListPoll = std::chrono::milliseconds(500);
-  base::Duration m_renewAge =
+  base::Duration m_roundInterval = std::chrono::milliseconds(500); ///< membership and shares
+  base::Duration m_loadPollInterval = std::chrono::milliseconds(200);
+  base::Duration m_hostListPollInterval = std::chrono::milliseconds(500);
+  base::Duration m_maxScopeAge =
     std::chrono::hours(12); ///< a scope's newest copy in the log is at most this old
-  base::Duration m_lease = std::chrono::seconds(9);
+  base::Duration m_leaseDuration = std::chrono::seconds(9);
   /// A change of the configuration is in force within so long after the log took it.
   base::Duration m_configurationDue = std::chrono::seconds(3);
 };
--- a/include/ferrytray/keeper/peer_catch_up.hpp
+++ b/include/ferrytray/keeper/peer_catch_up.hpp
@@ -18,16 +18,16 @@
   /// @param aHost this host's name
   PeerCatchUp(net::Loop& aLoop, ConfigSync& aConfig, std::string aHost);
   /// @brief Asks one peer, unless the log answers or a peer has not answered yet.
-  void AskIfBehind(std::span<const membership::Member> aLive);
+  void RequestStateIfBehind(std::span<const membership::Member> aLive);
 
 private:
-  void Ask(const net::Address& aPeer, std::uint64_t aMine);
+  void RequestState(const net::Address& aPeer, std::uint64_t aOwnPosition);
 
   net::Loop& m_loop;
   ConfigSync& m_config;
   std::string m_host;
-  net::TimerHandle m_timeout;
-  bool m_asking = false;
+  net::TimerHandle m_timeoutTimer;
+  bool m_requestPending = false;
 };
 
 } // namespace ferrytray::keeper
--- a/include/ferrytray/keeper/share_board.hpp
+++ b/include/ferrytray/keeper/share_calculator.hpp
@@ -11,7 +11,7 @@
 namespace ferrytray::keeper {
 
 /// @brief What each host's gate saw of each account, and the shares that follow from it.
-class ShareBoard
+class ShareCalculator
 {
 public:
   /// @brief This host's gate reported its demand (requests a second by account).
@@ -29,12 +29,12 @@
 private:
   struct PeerDemand
   {
-    base::TimePoint m_heard;
+    base::TimePoint m_receivedAt;
     std::map<std::string, double> m_perSecond;
   };
 
-  std::map<std::string, double> m_own;
-  std::map<std::string, PeerDemand> m_peers;
+  std::map<std::string, double> m_ownDemand;
+  std::map<std::string, PeerDemand> m_peerDemand;
 };
 
 } // namespace ferrytray::keeper
--- a/include/ferrytray/keeper/swap_controller.hpp
+++ b/include/ferrytray/keeper/swap_controller.hpp
@@ -30,7 +30,7 @@
                base::TimePoint aNow);
   /// @brief Whether this host holds the lease of a fleet that has workers to swap, so that it
   /// needs every zone's loads at first hand.
-  [[nodiscard]] bool NeedsEveryZone() const { return m_needsEveryZone; }
+  [[nodiscard]] bool NeedsAllZones() const { return m_needsAllZones; }
   [[nodiscard]] const control::LeaseTable& Leases() const { return m_leases; }
 
 private:
@@ -43,11 +43,11 @@
     }
     control::LeaseHolder m_holder;
     control::SwapPlanner m_planner;
-    control::FencingToken m_plannedUnder = 0;
+    control::FencingToken m_plannerToken = 0;
   };
 
   void OnPage(const wire::LogPage& aPage);
-  void TakeLeases(const std::vector<std::string>& aNames, base::TimePoint aNow);
+  void AppendLeases(const std::vector<std::string>& aLeaseNames, base::TimePoint aNow);
   void OrderSwaps(const config::Fleet& aFleet,
                   FleetControl& aControl,
                   const std::vector<wire::EndpointStatus>& aEndpoints,
@@ -63,8 +63,8 @@
   wire::LogClient m_appender;
   control::LeaseTable m_leases;
   std::map<std::string, FleetControl> m_fleets;
-  bool m_appending = false;
-  bool m_needsEveryZone = false;
+  bool m_appendPending = false;
+  bool m_needsAllZones = false;
 };
 
 } // namespace ferrytray::keeper
--- a/src/ferrytray/keeper/config_sync.cpp
+++ b/src/ferrytray/keeper/config_sync.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* kStream = "config";
+constexpr const char* kTopic = "config";
 
 void LogOutcome(const replay::Accepted& aAccepted, std::uint64_t aOffset)
 {
@@ -25,9 +25,9 @@
 
 void LogOutcome(const replay::Unchanged&, std::uint64_t) {}
 
-std::vector<replay::LoggedRecord> Place(const std::vector<wire::LogRecord>& aRecords)
+std::vector<replay::LoggedRecord> DecodeRecords(const std::vector<wire::LogRecord>& aRecords)
 {
-  std::vector<replay::LoggedRecord> placed;
+  std::vector<replay::LoggedRecord> decodedRecords;
   for (const wire::LogRecord& record : aRecords) {
     auto decoded = replay::Decode(record.m_body);
     if (!decoded) {
@@ -36,9 +36,9 @@
         .Add("why", decoded.error().m_message);
       continue;
     }
-    placed.push_back({ record.m_offset, record.m_time, std::move(*decoded) });
+    decodedRecords.push_back({ record.m_offset, record.m_time, std::move(*decoded) });
   }
-  return placed;
+  return decodedRecords;
 }
 
 } // namespace
@@ -46,9 +46,9 @@
 ConfigSync::ConfigSync(net::Loop& aLoop,
                        net::HttpClient& aHttp,
                        const std::string& aPlatform,
-                       base::Duration aDue)
-  : m_follower(aLoop, aHttp, aPlatform, kStream, wire::FollowWithin(aDue))
-  , m_appender(aHttp, aPlatform, kStream)
+                       base::Duration aMaxDelay)
+  : m_follower(aLoop, aHttp, aPlatform, kTopic, wire::FollowWithin(aMaxDelay))
+  , m_appender(aHttp, aPlatform, kTopic)
 {
 }
 
@@ -65,26 +65,27 @@
 
 void ConfigSync::OnPage(const wire::LogPage& aPage)
 {
-  std::vector<replay::LoggedRecord> placed = Place(aPage.m_records);
+  std::vector<replay::LoggedRecord> decodedRecords = DecodeRecords(aPage.m_records);
   // A reader that fell behind the log's head starts anew from what is kept.
-  const bool missed = m_booted && aPage.m_firstKept > m_replay.Position() + 1 && !placed.empty();
-  if (m_booted && !missed) {
-    for (const replay::LoggedRecord& record : placed) {
+  const bool skippedRecords =
+    m_bootstrapped && aPage.m_firstKept > m_replay.Position() + 1 && !decodedRecords.empty();
+  if (m_bootstrapped && !skippedRecords) {
+    for (const replay::LoggedRecord& record : decodedRecords) {
       const auto outcome = m_replay.Apply(record);
       std::visit([&](const auto& aOutcome) { LogOutcome(aOutcome, record.m_offset); }, outcome);
     }
     m_onChange();
     return;
   }
-  m_bootRecords.insert(m_bootRecords.end(), placed.begin(), placed.end());
-  const std::uint64_t last =
+  m_bootstrapRecords.insert(m_bootstrapRecords.end(), decodedRecords.begin(), decodedRecords.end());
+  const std::uint64_t lastOffset =
     aPage.m_records.empty() ? aPage.m_next - 1 : aPage.m_records.back().m_offset;
-  if (last + 1 < aPage.m_next) {
+  if (lastOffset + 1 < aPage.m_next) {
     return;
   }
-  m_replay.Bootstrap(m_bootRecords);
-  m_bootRecords.clear();
-  m_booted = true;
+  m_replay.Bootstrap(m_bootstrapRecords);
+  m_bootstrapRecords.clear();
+  m_bootstrapped = true;
   telemetry::LogLine("config_started").Add("position", m_replay.Position());
   m_onChange();
 }
@@ -92,26 +93,28 @@
 void ConfigSync::OnPeerState(const wire::StateUpdate& aUpdate)
 {
   const auto changed = m_replay.Merge(aUpdate.m_position, aUpdate.m_scopes);
-  m_toldByPeer = true;
+  m_receivedFromPeer = true;
   for (const std::string& scope : changed) {
     telemetry::LogLine("config_from_peer").Add("scope", scope).Add("position", aUpdate.m_position);
   }
   m_onChange();
 }
 
-void ConfigSync::RenewDue(base::Duration aAge, bool aMine)
+void ConfigSync::RenewDueScope(base::Duration aMaxAge, bool aIsResponsible)
 {
-  if (!aMine || m_renewing || !m_booted || !m_follower.Reachable()) {
+  if (!aIsResponsible || m_renewalPending || !m_bootstrapped || !m_follower.Reachable()) {
     return;
   }
-  const auto due = m_replay.DueRenewals(m_follower.PlatformTime(base::MonotonicNow()), aAge);
-  if (due.empty()) {
+  const auto dueScopes =
+    m_replay.DueRenewals(m_follower.PlatformTime(base::MonotonicNow()), aMaxAge);
+  if (dueScopes.empty()) {
     return;
   }
-  m_renewing = true;
+  m_renewalPending = true;
   m_appender.Append(
-    replay::Encode(due.front()), [this, scope = due.front().m_scope](const auto& aOffset) {
-      m_renewing = false;
+    replay::Encode(dueScopes.front()),
+    [this, scope = dueScopes.front().m_scope](const auto& aOffset) {
+      m_renewalPending = false;
       telemetry::LogLine("config_renewed").Add("scope", scope).Add("ok", aOffset ? "yes" : "no");
     });
 }
--- a/src/ferrytray/keeper/endpoint_watch.cpp
+++ b/src/ferrytray/keeper/endpoint_watch.cpp
@@ -28,33 +28,33 @@
 {
 }
 
-void EndpointWatch::Start(OnHosts aOnHosts)
+void EndpointWatch::Start(OnEntryHosts aOnEntryHosts)
 {
-  m_onHosts = std::move(aOnHosts);
+  m_onEntryHosts = std::move(aOnEntryHosts);
   PollHostList();
-  m_listTimer = m_loop.Every(m_options.m_hostListPoll, [this] { PollHostList(); });
-  m_loadTimer = m_loop.Every(m_options.m_loadPoll, [this] { PollLoads(); });
+  m_hostListTimer = m_loop.Every(m_options.m_hostListPollInterval, [this] { PollHostList(); });
+  m_loadTimer = m_loop.Every(m_options.m_loadPollInterval, [this] { PollLoads(); });
 }
 
 void EndpointWatch::PollHostList()
 {
-  if (m_listing) {
+  if (m_hostListPending) {
     return;
   }
-  m_listing = true;
+  m_hostListPending = true;
   net::ClientRequest request;
   request.m_url = m_options.m_platform + "/hosts";
-  if (!m_listTag.empty()) {
-    request.m_headers = { { "If-None-Match", m_listTag } };
+  if (!m_hostListEtag.empty()) {
+    request.m_headers = { { "If-None-Match", m_hostListEtag } };
   }
   request.m_timeout = kPollTimeout;
   m_http.Fetch(std::move(request),
                [this](const net::ClientOutcome& aOutcome, const std::string& aBody) {
-                 m_listing = false;
-                 const bool whole = aOutcome.m_end == net::WireEnd::Complete;
+                 m_hostListPending = false;
+                 const bool complete = aOutcome.m_end == net::WireEnd::Complete;
                  // The platform says "not modified" to a tag; so only of a list that was taken.
-                 if (whole && aOutcome.m_status == kOk && OnHostList(aBody)) {
-                   m_listTag = aOutcome.m_etag;
+                 if (complete && aOutcome.m_status == kOk && OnHostList(aBody)) {
+                   m_hostListEtag = aOutcome.m_etag;
                  }
                });
 }
@@ -67,39 +67,39 @@
     return false;
   }
   std::vector<wire::ListedHost> entries;
-  std::map<std::string, std::string> current;
-  std::map<std::string, Known> listed;
+  std::map<std::string, std::string> currentIncarnations;
+  std::map<std::string, EndpointState> updatedEndpoints;
   for (const wire::ListedHost& host : *hosts) {
     if (host.m_role == wire::Role::Entry) {
       entries.push_back(host);
       continue;
     }
-    current[host.m_name] = host.m_incarnation;
-    const auto before = m_endpoints.find(host.m_name);
-    const bool same =
-      before != m_endpoints.end() && before->second.m_host.m_incarnation == host.m_incarnation;
-    Known known = same ? before->second : Known{};
-    known.m_host = host;
+    currentIncarnations[host.m_name] = host.m_incarnation;
+    const auto previous = m_endpoints.find(host.m_name);
+    const bool sameIncarnation =
+      previous != m_endpoints.end() && previous->second.m_host.m_incarnation == host.m_incarnation;
+    EndpointState state = sameIncarnation ? previous->second : EndpointState{};
+    state.m_host = host;
     if (host.m_leaving) {
       MarkLeaving(host.m_name, host.m_incarnation);
     }
-    listed.emplace(host.m_name, std::move(known));
+    updatedEndpoints.emplace(host.m_name, std::move(state));
   }
-  m_endpoints = std::move(listed);
-  m_leaving.Prune(current);
-  m_onHosts(entries);
+  m_endpoints = std::move(updatedEndpoints);
+  m_leaving.Prune(currentIncarnations);
+  m_onEntryHosts(entries);
   return true;
 }
 
 void EndpointWatch::PollLoads()
 {
-  for (auto& [name, known] : m_endpoints) {
-    if (known.m_polling || !MustPoll(known.m_host)) {
+  for (auto& [name, state] : m_endpoints) {
+    if (state.m_loadPending || !MustPoll(state.m_host)) {
       continue;
     }
-    known.m_polling = true;
+    state.m_loadPending = true;
     net::ClientRequest request;
-    request.m_url = "http://" + known.m_host.m_address + "/load";
+    request.m_url = "http://" + state.m_host.m_address + "/load";
     request.m_timeout = kPollTimeout;
     m_http.Fetch(
       std::move(request),
@@ -108,7 +108,7 @@
         if (found == m_endpoints.end()) {
           return;
         }
-        found->second.m_polling = false;
+        found->second.m_loadPending = false;
         if (aOutcome.m_status == kOk) {
           OnLoad(endpoint, aBody);
         }
@@ -121,8 +121,8 @@
   if (aEngine.m_role != wire::Role::Engine) {
     return false;
   }
-  if (m_allZones || m_zoneHosts.empty()) {
-    return m_allZones || aEngine.m_zone == m_options.m_zone;
+  if (m_pollAllZones || m_zoneHosts.empty()) {
+    return m_pollAllZones || aEngine.m_zone == m_options.m_zone;
   }
   const auto score = [&](const std::string& aHost) { return base::Hash64(aEngine.m_name, aHost); };
   const auto owner = std::max_element(
@@ -135,12 +135,12 @@
 void EndpointWatch::OnLoad(const std::string& aName, const std::string& aJson)
 {
   const auto report = wire::ParseLoadReport(aJson);
-  Known& known = m_endpoints.at(aName);
-  if (!report || report->m_incarnation != known.m_host.m_incarnation) {
+  EndpointState& state = m_endpoints.at(aName);
+  if (!report || report->m_incarnation != state.m_host.m_incarnation) {
     return;
   }
-  known.m_load = *report;
-  known.m_reportedAt = base::MonotonicNow() - std::chrono::milliseconds(report->m_ageMillis);
+  state.m_load = *report;
+  state.m_reportedAt = base::MonotonicNow() - std::chrono::milliseconds(report->m_ageMillis);
   if (report->m_leaving) {
     MarkLeaving(aName, report->m_incarnation);
   }
@@ -175,33 +175,33 @@
 std::vector<wire::EndpointStatus> EndpointWatch::Endpoints(base::TimePoint aNow) const
 {
   std::vector<wire::EndpointStatus> all;
-  for (const auto& [name, known] : m_endpoints) {
-    wire::EndpointStatus status{ known.m_host,
-                                 known.m_load,
-                                 MillisBetween(known.m_reportedAt, aNow) };
-    status.m_host.m_leaving = m_leaving.Contains(name, known.m_host.m_incarnation);
+  for (const auto& [name, state] : m_endpoints) {
+    wire::EndpointStatus status{ state.m_host,
+                                 state.m_load,
+                                 MillisBetween(state.m_reportedAt, aNow) };
+    status.m_host.m_leaving = m_leaving.Contains(name, state.m_host.m_incarnation);
     all.push_back(std::move(status));
   }
   return all;
 }
 
-std::vector<membership::LoadDigest> EndpointWatch::NextDigests(std::size_t aCount,
-                                                               base::TimePoint aNow)
+std::vector<membership::LoadDigest> EndpointWatch::NextLoadDigests(std::size_t aCount,
+                                                                   base::TimePoint aNow)
 {
   std::vector<membership::LoadDigest> digests;
   for (std::size_t step = 0; step < m_endpoints.size() && digests.size() < aCount; ++step) {
     auto next = m_endpoints.upper_bound(m_digestCursor);
     next = next == m_endpoints.end() ? m_endpoints.begin() : next;
     m_digestCursor = next->first;
-    const Known& known = next->second;
-    const bool own =
-      known.m_host.m_role == wire::Role::Engine && known.m_host.m_zone == m_options.m_zone;
-    if (own && known.m_reportedAt != base::TimePoint{}) {
+    const EndpointState& state = next->second;
+    const bool inOwnZone =
+      state.m_host.m_role == wire::Role::Engine && state.m_host.m_zone == m_options.m_zone;
+    if (inOwnZone && state.m_reportedAt != base::TimePoint{}) {
       digests.push_back({ next->first,
-                          known.m_load.m_queuedMillis,
-                          MillisBetween(known.m_reportedAt, aNow),
-                          known.m_load.m_version,
-                          static_cast<float>(known.m_load.m_tokensPerSecond) });
+                          state.m_load.m_queuedMillis,
+                          MillisBetween(state.m_reportedAt, aNow),
+                          state.m_load.m_version,
+                          static_cast<float>(state.m_load.m_tokensPerSecond) });
     }
   }
   return digests;
--- a/src/ferrytray/keeper/endpoint_watch_test.cpp
+++ b/src/ferrytray/keeper/endpoint_watch_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-const std::string kList =
+const std::string kHostList =
   R"({"hosts":[{"name":"h1","zone":"z1","role":"entry","address":"10.0.0.1:1"}]})";
 
 } // namespace
@@ -24,50 +24,50 @@
   support::FakeHttpClient m_http;
   keeper::KeeperOptions m_options;
   std::unique_ptr<keeper::EndpointWatch> m_watch;
-  std::size_t m_taken = 0; ///< lists
+  std::size_t m_acceptedLists = 0; ///< lists
 
   void setup() override
   {
     m_options.m_platform = "http://10.0.0.9:1";
-    m_options.m_hostListPoll = 1ms;
-    m_options.m_loadPoll = 1h;
+    m_options.m_hostListPollInterval = 1ms;
+    m_options.m_loadPollInterval = 1h;
     m_watch = std::make_unique<keeper::EndpointWatch>(m_loop, m_http, m_options);
-    m_watch->Start([this](const auto&) { ++m_taken; });
+    m_watch->Start([this](const auto&) { ++m_acceptedLists; });
   }
-  void Answer(const std::string& aBody, net::WireEnd aEnd)
+  void AnswerHostList(const std::string& aBody, net::WireEnd aEnd)
   {
     m_http.Head(200, {});
     m_http.Data(aBody);
     m_http.End(aEnd, "\"7\"");
   }
   /// Whether the next question lets the platform answer "not modified".
-  bool AsksForChangesOnly()
+  bool NextRequestIsConditional()
   {
-    const std::size_t before = m_http.m_calls.size();
-    for (int i = 0; i < 1000 && m_http.m_calls.size() == before; ++i) {
+    const std::size_t requestCount = m_http.m_calls.size();
+    for (int i = 0; i < 1000 && m_http.m_calls.size() == requestCount; ++i) {
       m_loop.RunFor(1ms);
     }
     return !m_http.m_calls.back().m_request.m_headers.empty();
   }
 };
 
-TEST(EndpointWatch, AListThatWasTakenIsAskedForOnlyIfItChanged)
+TEST(EndpointWatch, RequestsAcceptedListConditionally)
 {
-  Answer(kList, net::WireEnd::Complete);
-  LONGS_EQUAL(1, m_taken);
-  CHECK(AsksForChangesOnly());
+  AnswerHostList(kHostList, net::WireEnd::Complete);
+  LONGS_EQUAL(1, m_acceptedLists);
+  CHECK(NextRequestIsConditional());
 }
 
-TEST(EndpointWatch, AListThatBrokeOffIsAskedForAgain)
+TEST(EndpointWatch, RequestsFullListAfterTruncatedReply)
 {
-  Answer(kList.substr(0, kList.size() / 2), net::WireEnd::BrokenReply);
-  LONGS_EQUAL(0, m_taken);
-  CHECK_FALSE(AsksForChangesOnly());
+  AnswerHostList(kHostList.substr(0, kHostList.size() / 2), net::WireEnd::BrokenReply);
+  LONGS_EQUAL(0, m_acceptedLists);
+  CHECK_FALSE(NextRequestIsConditional());
 }
 
-TEST(EndpointWatch, AListThatCannotBeReadIsAskedForAgain)
+TEST(EndpointWatch, RequestsFullListAfterUnparsableReply)
 {
-  Answer("{}", net::WireEnd::Complete);
-  LONGS_EQUAL(0, m_taken);
-  CHECK_FALSE(AsksForChangesOnly());
+  AnswerHostList("{}", net::WireEnd::Complete);
+  LONGS_EQUAL(0, m_acceptedLists);
+  CHECK_FALSE(NextRequestIsConditional());
 }
--- a/src/ferrytray/keeper/half_controller.cpp
+++ b/src/ferrytray/keeper/half_controller.cpp
@@ -13,21 +13,21 @@
 
 using nlohmann::json;
 
-constexpr const char* kStream = "handover";
+constexpr const char* kTopic = "handover";
 constexpr const char* kGiven = "given";
 constexpr const char* kReceived = "received";
-constexpr base::Duration kAskTimeout = std::chrono::seconds(2);
+constexpr base::Duration kQueryTimeout = std::chrono::seconds(2);
 
 /// Every listed host must say so itself: one that is cut off may still serve by its old file.
-bool EveryGateDrained(const std::string& aMark,
-                      const std::set<std::string>& aListed,
+bool EveryGateDrained(const std::string& aRuleEpoch,
+                      const std::set<std::string>& aListedHosts,
                       const std::vector<membership::Member>& aMembers)
 {
-  return std::all_of(aListed.begin(), aListed.end(), [&](const std::string& aHost) {
+  return std::all_of(aListedHosts.begin(), aListedHosts.end(), [&](const std::string& aHost) {
     return std::any_of(aMembers.begin(), aMembers.end(), [&](const membership::Member& aMember) {
       const auto& drained = aMember.m_drained;
       return aMember.m_host == aHost &&
-             std::find(drained.begin(), drained.end(), aMark) != drained.end();
+             std::find(drained.begin(), drained.end(), aRuleEpoch) != drained.end();
     });
   });
 }
@@ -38,8 +38,8 @@
                                net::HttpClient& aHttp,
                                const KeeperOptions& aOptions)
   : m_http(aHttp)
-  , m_follower(aLoop, aHttp, aOptions.m_platform, kStream)
-  , m_appender(aHttp, aOptions.m_platform, kStream)
+  , m_follower(aLoop, aHttp, aOptions.m_platform, kTopic)
+  , m_appender(aHttp, aOptions.m_platform, kTopic)
 {
 }
 
@@ -53,10 +53,10 @@
 {
   for (const wire::LogRecord& record : aPage.m_records) {
     const json object = json::parse(record.m_body, nullptr, false);
-    const bool known = object.is_object() && object.value("rule", json()).is_string() &&
-                       object.value("epoch", json()).is_number_unsigned() &&
-                       object.value("kind", json()).is_string();
-    if (!known) {
+    const bool wellFormed = object.is_object() && object.value("rule", json()).is_string() &&
+                            object.value("epoch", json()).is_number_unsigned() &&
+                            object.value("kind", json()).is_string();
+    if (!wellFormed) {
       continue;
     }
     const std::string rule = object["rule"].get<std::string>();
@@ -83,57 +83,58 @@
 }
 
 void HalfController::OnRound(const std::vector<const config::HalfRule*>& aRules,
-                             const std::set<std::string>& aListed,
+                             const std::set<std::string>& aListedHosts,
                              const std::vector<membership::Member>& aMembers,
-                             bool aMine)
+                             bool aIsResponsible)
 {
-  if (!aMine || !Known()) {
+  if (!aIsResponsible || !CaughtUp()) {
     return;
   }
   for (const config::HalfRule* rule : aRules) {
     const control::HalfView view = wire::HalfViewOf(*rule, EpochsOf(rule->m_name));
-    const std::string mark = rule->m_name + "@" + std::to_string(rule->m_epoch);
-    if (control::MayRecordEpochEnd(view, EveryGateDrained(mark, aListed, aMembers))) {
-      Record(kGiven, rule->m_name, rule->m_epoch);
+    const std::string ruleEpoch = rule->m_name + "@" + std::to_string(rule->m_epoch);
+    if (control::MayRecordEpochEnd(view, EveryGateDrained(ruleEpoch, aListedHosts, aMembers))) {
+      AppendRecord(kGiven, rule->m_name, rule->m_epoch);
     } else if (control::MustQueryOtherHalf(view)) {
-      AskOther(*rule);
+      QueryOtherHalf(*rule);
     }
   }
 }
 
-void HalfController::Record(const char* aKind, const std::string& aRule, std::uint64_t aEpoch)
+void HalfController::AppendRecord(const char* aKind, const std::string& aRule, std::uint64_t aEpoch)
 {
-  if (m_appending) {
+  if (m_appendPending) {
     return;
   }
-  m_appending = true;
+  m_appendPending = true;
   telemetry::LogLine("half_recorded").Add("kind", aKind).Add("rule", aRule).Add("epoch", aEpoch);
   m_appender.Append(json{ { "kind", aKind }, { "rule", aRule }, { "epoch", aEpoch } }.dump(),
                     [this](const base::Result<std::uint64_t>& aOffset) {
-                      m_appending = false;
+                      m_appendPending = false;
                       if (aOffset) {
                         m_follower.Expect(*aOffset);
                       }
                     });
 }
 
-void HalfController::AskOther(const config::HalfRule& aRule)
+void HalfController::QueryOtherHalf(const config::HalfRule& aRule)
 {
-  if (!m_asking.insert(aRule.m_name).second) {
+  if (!m_pendingQueries.insert(aRule.m_name).second) {
     return;
   }
   net::ClientRequest request;
   request.m_url = aRule.m_otherHalf + "/handover/" + aRule.m_name;
-  request.m_timeout = kAskTimeout;
+  request.m_timeout = kQueryTimeout;
   m_http.Fetch(std::move(request),
-               [this, rule = aRule.m_name, wanted = aRule.m_epoch - 1](
+               [this, rule = aRule.m_name, awaitedEpoch = aRule.m_epoch - 1](
                  const net::ClientOutcome& aOutcome, const std::string& aBody) {
-                 m_asking.erase(rule);
+                 m_pendingQueries.erase(rule);
                  const json reply = json::parse(aBody, nullptr, false);
-                 const bool told = aOutcome.m_status == 200 && reply.is_object();
-                 const std::uint64_t ended = told ? reply.value("epoch", std::uint64_t{ 0 }) : 0;
-                 if (ended >= wanted) {
-                   Record(kReceived, rule, wanted);
+                 const bool replied = aOutcome.m_status == 200 && reply.is_object();
+                 const std::uint64_t recordedEpoch =
+                   replied ? reply.value("epoch", std::uint64_t{ 0 }) : 0;
+                 if (recordedEpoch >= awaitedEpoch) {
+                   AppendRecord(kReceived, rule, awaitedEpoch);
                  }
                });
 }
--- a/src/ferrytray/keeper/keeper.cpp
+++ b/src/ferrytray/keeper/keeper.cpp
@@ -18,22 +18,22 @@
 constexpr std::size_t kLoadsPerMessage = 8;
 constexpr std::size_t kDemandsPerMessage = 6;
 constexpr std::size_t kLeavingPerMessage = 8;
-constexpr std::size_t kRoundsOfLeaving = 4;
-constexpr std::uint64_t kRoundsPerRenewal = 5;
-constexpr int kRoundsToSuspect = 12;
-constexpr int kRoundsToDead = 30;
+constexpr std::size_t kLeaveRounds = 4;
+constexpr std::uint64_t kRoundsPerRenewalCheck = 5;
+constexpr int kSuspectAfterRounds = 12;
+constexpr int kDeadAfterRounds = 30;
 
 /// A gate or a peer that is told of every change.
 struct Subscriber
 {
   std::shared_ptr<net::FrameChannel> m_channel;
   bool m_isGate = false;
-  bool m_greeted = false;
+  bool m_helloReceived = false;
   std::uint64_t m_sentPosition = 0;
 };
 
 /// Hosts that are alive, of one zone or, if that is empty, of all.
-std::vector<std::string> AliveNames(std::span<const membership::Member> aLive,
+std::vector<std::string> AliveHosts(std::span<const membership::Member> aLive,
                                     const std::string& aZone)
 {
   std::vector<std::string> names;
@@ -55,8 +55,8 @@
     , m_http(net::HttpClient::Create(aLoop))
     , m_config(aLoop, *m_http, m_options.m_platform, m_options.m_configurationDue)
     , m_endpoints(aLoop, *m_http, m_options)
-    , m_swaps(aLoop, *m_http, m_options)
-    , m_halves(aLoop, *m_http, m_options)
+    , m_swapController(aLoop, *m_http, m_options)
+    , m_halfController(aLoop, *m_http, m_options)
     , m_catchUp(aLoop, m_config, m_options.m_host)
     , m_pages({ m_options.m_host, m_config, m_endpoints, *m_http, m_metrics },
               [this] { PushEndpoints(); })
@@ -75,7 +75,7 @@
     httpOptions.m_listen = m_options.m_http;
     auto http =
       net::HttpServer::Create(m_loop, httpOptions, [this](net::HttpRequest aRequest, auto aReply) {
-        m_pages.Answer(aRequest, *aReply, *m_members);
+        m_pages.Handle(aRequest, *aReply, *m_members);
       });
     for (const base::Failure* failure : { gossip ? nullptr : &gossip.error(),
                                           control ? nullptr : &control.error(),
@@ -86,7 +86,7 @@
     }
     m_gossip = std::move(*gossip);
     m_control = std::move(*control);
-    m_status = std::move(*http);
+    m_httpServer = std::move(*http);
     return {};
   }
 
@@ -100,26 +100,26 @@
     self.m_incarnation = m_options.m_incarnation;
     const std::uint64_t seed = base::Hash64(self.m_host, std::to_string(self.m_incarnation));
     membership::MembershipOptions options;
-    options.m_suspectAfter = m_options.m_round * kRoundsToSuspect;
-    options.m_deadAfter = m_options.m_round * kRoundsToDead;
+    options.m_suspectAfter = m_options.m_roundInterval * kSuspectAfterRounds;
+    options.m_deadAfter = m_options.m_roundInterval * kDeadAfterRounds;
     m_members = std::make_unique<membership::MemberTable>(self, options, seed);
     SeedMembers();
     m_config.Start([this] { OnConfigChange(); });
     m_endpoints.Start([this](const auto& aEntries) { OnEntryHosts(aEntries); });
-    m_swaps.Start();
-    m_halves.Start();
-    m_round = m_loop.Every(m_options.m_round, [this] { OnRound(); });
-    m_push = m_loop.Every(m_options.m_loadPoll, [this] { PushEndpoints(); });
+    m_swapController.Start();
+    m_halfController.Start();
+    m_roundTimer = m_loop.Every(m_options.m_roundInterval, [this] { OnRound(); });
+    m_pushTimer = m_loop.Every(m_options.m_loadPollInterval, [this] { PushEndpoints(); });
   }
 
-  [[nodiscard]] net::Address HttpAddress() const override { return m_status->ListenAddress(); }
+  [[nodiscard]] net::Address HttpAddress() const override { return m_httpServer->ListenAddress(); }
   [[nodiscard]] net::Address ControlAddress() const override { return m_control->ListenAddress(); }
   [[nodiscard]] net::Address GossipAddress() const override { return m_gossip->ListenAddress(); }
 
   void Leave(std::function<void()> aDone) override
   {
     m_members->Leave();
-    m_leaving = m_loop.After(m_options.m_round * kRoundsOfLeaving, std::move(aDone));
+    m_leaveTimer = m_loop.After(m_options.m_roundInterval * kLeaveRounds, std::move(aDone));
   }
 
 private:
@@ -140,7 +140,7 @@
 
   void OnConfigChange()
   {
-    for (const replay::ScopeState& scope : m_config.Replay().AcceptedSince(m_parsedUpTo)) {
+    for (const replay::ScopeState& scope : m_config.Replay().AcceptedSince(m_parsedPosition)) {
       auto parsed = config::Parse(scope.m_body, scope.m_scope);
       if (parsed) {
         // Accounts are the gate's business; at 27,000 of them they would take 18 MB here.
@@ -148,7 +148,7 @@
         m_registry.Put(std::make_shared<config::Document>(std::move(*parsed)));
       }
     }
-    m_parsedUpTo = m_config.Replay().Position();
+    m_parsedPosition = m_config.Replay().Position();
     PublishState();
   }
 
@@ -162,7 +162,8 @@
   void SendState(Subscriber& aSubscriber)
   {
     const std::uint64_t position = m_config.Replay().Position();
-    if (!aSubscriber.m_greeted || !m_config.Ready() || aSubscriber.m_sentPosition >= position) {
+    if (!aSubscriber.m_helloReceived || !m_config.Ready() ||
+        aSubscriber.m_sentPosition >= position) {
       return;
     }
     wire::StateUpdate update{ position,
@@ -197,7 +198,7 @@
     }
     if (const auto* hello = std::get_if<wire::Hello>(&*frame)) {
       found->m_isGate = hello->m_isGate;
-      found->m_greeted = true;
+      found->m_helloReceived = true;
       found->m_sentPosition = hello->m_position;
       SendState(*found);
       PushEndpoints();
@@ -205,11 +206,11 @@
     } else if (const auto* report = std::get_if<wire::GateReport>(&*frame)) {
       OnGateReport(*report);
     } else if (const auto* question = std::get_if<wire::ConfigurationAgeQuestion>(&*frame)) {
-      TellAge(*found->m_channel, question->m_number);
+      SendConfigurationAge(*found->m_channel, question->m_number);
     }
   }
 
-  void TellAge(net::FrameChannel& aGate, std::uint64_t aQuestion) const
+  void SendConfigurationAge(net::FrameChannel& aGate, std::uint64_t aQuestion) const
   {
     if (const auto heardAt = m_config.HeardAt()) {
       const auto age = static_cast<std::uint64_t>(base::ToMillis(base::MonotonicNow() - *heardAt));
@@ -244,10 +245,10 @@
   {
     SendToGates(wire::EndpointUpdate{ m_endpoints.Endpoints(base::MonotonicNow()) });
   }
-  void PushHalves()
+  void PushHalfEpochs()
   {
-    if (m_halves.Known()) {
-      SendToGates(m_halves.Epochs());
+    if (m_halfController.CaughtUp()) {
+      SendToGates(m_halfController.Epochs());
     }
   }
 
@@ -298,20 +299,20 @@
     PushPeers();
     const std::vector<membership::Member> live = m_members->Live();
     SendToGates(m_shares.Shares(static_cast<std::uint32_t>(live.size()), now));
-    m_catchUp.AskIfBehind(live);
-    const std::vector<std::string> hosts = AliveNames(live, "");
-    m_swaps.OnRound(m_registry.Fleets(), m_endpoints.Endpoints(now), hosts, now);
-    const bool first = !hosts.empty() && hosts.front() == m_options.m_host;
-    m_halves.OnRound(m_registry.Rules(), m_listedHosts, live, first);
-    PushHalves();
-    m_endpoints.SetZoneHosts(AliveNames(live, m_options.m_zone));
-    m_endpoints.PollAllZones(m_swaps.NeedsEveryZone());
+    m_catchUp.RequestStateIfBehind(live);
+    const std::vector<std::string> hosts = AliveHosts(live, "");
+    m_swapController.OnRound(m_registry.Fleets(), m_endpoints.Endpoints(now), hosts, now);
+    const bool isFirstHost = !hosts.empty() && hosts.front() == m_options.m_host;
+    m_halfController.OnRound(m_registry.Rules(), m_listedHosts, live, isFirstHost);
+    PushHalfEpochs();
+    m_endpoints.SetZoneHosts(AliveHosts(live, m_options.m_zone));
+    m_endpoints.PollAllZones(m_swapController.NeedsAllZones());
     // The lowest name renews: a second one now and then would do no harm. Not every round, since
     // it looks at every scope.
-    if (++m_rounds % kRoundsPerRenewal != 0) {
+    if (++m_roundCount % kRoundsPerRenewalCheck != 0) {
       return;
     }
-    m_config.RenewDue(m_options.m_renewAge, first);
+    m_config.RenewDueScope(m_options.m_maxScopeAge, isFirstHost);
   }
 
   void SendGossip(membership::GossipSend& aSend, base::TimePoint aNow)
@@ -320,7 +321,7 @@
     if (!address) {
       return;
     }
-    aSend.m_message.m_loads = m_endpoints.NextDigests(kLoadsPerMessage, aNow);
+    aSend.m_message.m_loads = m_endpoints.NextLoadDigests(kLoadsPerMessage, aNow);
     aSend.m_message.m_demands = m_shares.Digest(kDemandsPerMessage);
     for (const auto& pair : m_endpoints.Leaving().All()) {
       if (aSend.m_message.m_leaving.size() < kLeavingPerMessage) {
@@ -335,11 +336,11 @@
   /// What is in force on this host: its gate's position when it has a gate.
   [[nodiscard]] std::uint64_t PositionInForce() const
   {
-    const std::uint64_t mine = m_config.Replay().Position();
+    const std::uint64_t ownPosition = m_config.Replay().Position();
     const bool hasGate = std::any_of(m_subscribers.begin(),
                                      m_subscribers.end(),
                                      [](const Subscriber& aEntry) { return aEntry.m_isGate; });
-    return hasGate ? std::min(mine, m_gate.m_position) : mine;
+    return hasGate ? std::min(ownPosition, m_gate.m_position) : ownPosition;
   }
 
   net::Loop& m_loop;
@@ -347,24 +348,24 @@
   std::unique_ptr<net::HttpClient> m_http;
   ConfigSync m_config;
   EndpointWatch m_endpoints;
-  SwapController m_swaps;
-  HalfController m_halves;
+  SwapController m_swapController;
+  HalfController m_halfController;
   PeerCatchUp m_catchUp;
   std::set<std::string> m_listedHosts;
-  ShareBoard m_shares;
+  ShareCalculator m_shares;
   replay::Registry m_registry;
-  std::uint64_t m_parsedUpTo = 0;
+  std::uint64_t m_parsedPosition = 0;
   std::unique_ptr<membership::MemberTable> m_members;
   std::unique_ptr<net::DatagramSocket> m_gossip;
   std::unique_ptr<net::FrameServer> m_control;
-  std::unique_ptr<net::HttpServer> m_status;
+  std::unique_ptr<net::HttpServer> m_httpServer;
   std::vector<Subscriber> m_subscribers;
   wire::GateReport m_gate;
   telemetry::Metrics m_metrics;
-  net::TimerHandle m_round;
-  net::TimerHandle m_push;
-  net::TimerHandle m_leaving;
-  std::uint64_t m_rounds = 0;
+  net::TimerHandle m_roundTimer;
+  net::TimerHandle m_pushTimer;
+  net::TimerHandle m_leaveTimer;
+  std::uint64_t m_roundCount = 0;
   OperatorPages m_pages;
 };
 
--- a/src/ferrytray/keeper/operator_pages.cpp
+++ b/src/ferrytray/keeper/operator_pages.cpp
@@ -15,13 +15,13 @@
 
 } // namespace
 
-OperatorPages::OperatorPages(const OperatorView& aView, std::function<void()> aOnDrained)
+OperatorPages::OperatorPages(const OperatorView& aView, std::function<void()> aOnDrainStarted)
   : m_view(aView)
-  , m_onDrained(std::move(aOnDrained))
+  , m_onDrainStarted(std::move(aOnDrainStarted))
 {
 }
 
-void OperatorPages::Answer(const net::HttpRequest& aRequest,
+void OperatorPages::Handle(const net::HttpRequest& aRequest,
                            net::HttpReply& aReply,
                            const membership::MemberTable& aMembers)
 {
@@ -67,7 +67,7 @@
   for (const wire::EndpointStatus& endpoint : m_view.m_endpoints.Endpoints(base::MonotonicNow())) {
     if (endpoint.m_host.m_name == wanted) {
       m_view.m_endpoints.MarkLeaving(wanted, endpoint.m_host.m_incarnation);
-      m_onDrained();
+      m_onDrainStarted();
       aReply.Send(200, {}, "draining\n");
       return;
     }
--- a/src/ferrytray/keeper/peer_catch_up.cpp
+++ b/src/ferrytray/keeper/peer_catch_up.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A peer on the same network answers in milliseconds; then another one is asked next round.
-constexpr base::Duration kAnswerWithin = std::chrono::seconds(2);
+constexpr base::Duration kReplyTimeout = std::chrono::seconds(2);
 
 } // namespace
 
@@ -21,42 +21,42 @@
 {
 }
 
-void PeerCatchUp::AskIfBehind(std::span<const membership::Member> aLive)
+void PeerCatchUp::RequestStateIfBehind(std::span<const membership::Member> aLive)
 {
-  const std::uint64_t mine = m_config.Replay().Position();
-  const bool fromLog = m_config.LogReachable() && m_config.Ready();
-  if (fromLog || m_asking) {
+  const std::uint64_t ownPosition = m_config.Replay().Position();
+  const bool currentFromLog = m_config.LogReachable() && m_config.Ready();
+  if (currentFromLog || m_requestPending) {
     return;
   }
   for (const membership::Member& member : aLive) {
-    const bool ahead = member.m_position > mine || !m_config.Ready();
+    const bool ahead = member.m_position > ownPosition || !m_config.Ready();
     if (member.m_host == m_host || member.m_control.empty() || !ahead) {
       continue;
     }
     const auto address = net::ParseAddress(member.m_control);
     if (address) {
-      Ask(*address, mine);
+      RequestState(*address, ownPosition);
       return;
     }
   }
 }
 
-void PeerCatchUp::Ask(const net::Address& aPeer, std::uint64_t aMine)
+void PeerCatchUp::RequestState(const net::Address& aPeer, std::uint64_t aOwnPosition)
 {
-  m_asking = true;
+  m_requestPending = true;
   net::ConnectFrames(
-    m_loop, aPeer, [this, aMine](const std::shared_ptr<net::FrameChannel>& aChannel) {
+    m_loop, aPeer, [this, aOwnPosition](const std::shared_ptr<net::FrameChannel>& aChannel) {
       if (!aChannel) {
-        m_asking = false;
+        m_requestPending = false;
         return;
       }
       const std::weak_ptr<net::FrameChannel> weak = aChannel;
-      m_timeout = m_loop.After(kAnswerWithin, [weak] {
+      m_timeoutTimer = m_loop.After(kReplyTimeout, [weak] {
         if (const auto channel = weak.lock()) {
           channel->Close();
         }
       });
-      aChannel->OnClosed([this] { m_asking = false; });
+      aChannel->OnClosed([this] { m_requestPending = false; });
       aChannel->OnFrame([this, weak](std::string_view aBytes) {
         const auto frame = wire::DecodeFrame(aBytes);
         if (frame && std::holds_alternative<wire::StateUpdate>(*frame)) {
@@ -66,7 +66,7 @@
           channel->Close();
         }
       });
-      aChannel->Send(wire::EncodeFrame(wire::Hello{ m_host, false, aMine }));
+      aChannel->Send(wire::EncodeFrame(wire::Hello{ m_host, false, aOwnPosition }));
     });
 }
 
--- a/src/ferrytray/keeper/swap_controller.cpp
+++ b/src/ferrytray/keeper/swap_controller.cpp
@@ -12,41 +12,43 @@
 
 namespace {
 
-constexpr const char* kStream = "leases";
+constexpr const char* kTopic = "leases";
 
-std::string LeaseOf(const std::string& aFleet)
+std::string LeaseName(const std::string& aFleet)
 {
   return "swap/" + aFleet;
 }
 
-control::LeaseHolderOptions HolderOptionsOf(const KeeperOptions& aOptions)
+control::LeaseHolderOptions MakeHolderOptions(const KeeperOptions& aOptions)
 {
   constexpr int kRenewalsPerLease = 3;
-  constexpr int kSendsPerLease = 5;
-  constexpr int kMarginsPerLease = 18;
+  constexpr int kSendTimesPerLease = 5;
+  constexpr int kClockMarginsPerLease = 18;
   control::LeaseHolderOptions options;
-  options.m_duration = aOptions.m_lease;
-  options.m_renewEvery = aOptions.m_lease / kRenewalsPerLease;
-  options.m_maxSendTime = aOptions.m_lease / kSendsPerLease;
-  options.m_clockMargin = aOptions.m_lease / kMarginsPerLease;
+  options.m_duration = aOptions.m_leaseDuration;
+  options.m_renewEvery = aOptions.m_leaseDuration / kRenewalsPerLease;
+  options.m_maxSendTime = aOptions.m_leaseDuration / kSendTimesPerLease;
+  options.m_clockMargin = aOptions.m_leaseDuration / kClockMarginsPerLease;
   return options;
 }
 
 /// Whether this host is the first of a lease in rendezvous order.
-bool IsFirst(const std::string& aSelf,
-             const std::string& aLease,
-             const std::vector<std::string>& aHosts)
+bool RanksFirst(const std::string& aSelf,
+                const std::string& aLease,
+                const std::vector<std::string>& aHosts)
 {
   const auto score = [&](const std::string& aHost) {
     return base::HashWithSeed(base::HashWithSeed({}, aLease), aHost);
   };
-  const base::Digest128 mine = score(aSelf);
-  return std::none_of(
-    aHosts.begin(), aHosts.end(), [&](const std::string& aHost) { return score(aHost) > mine; });
+  const base::Digest128 ownScore = score(aSelf);
+  return std::none_of(aHosts.begin(), aHosts.end(), [&](const std::string& aHost) {
+    return score(aHost) > ownScore;
+  });
 }
 
-std::vector<control::WorkerVersion> WorkersOf(const std::string& aFleet,
-                                              const std::vector<wire::EndpointStatus>& aEndpoints)
+std::vector<control::WorkerVersion> FleetWorkers(
+  const std::string& aFleet,
+  const std::vector<wire::EndpointStatus>& aEndpoints)
 {
   std::vector<control::WorkerVersion> workers;
   for (const wire::EndpointStatus& endpoint : aEndpoints) {
@@ -71,9 +73,9 @@
                                const KeeperOptions& aOptions)
   : m_http(aHttp)
   , m_holderName(aOptions.m_host + "#" + std::to_string(aOptions.m_incarnation))
-  , m_holderOptions(HolderOptionsOf(aOptions))
-  , m_follower(aLoop, aHttp, aOptions.m_platform, kStream)
-  , m_appender(aHttp, aOptions.m_platform, kStream)
+  , m_holderOptions(MakeHolderOptions(aOptions))
+  , m_follower(aLoop, aHttp, aOptions.m_platform, kTopic)
+  , m_appender(aHttp, aOptions.m_platform, kTopic)
 {
 }
 
@@ -95,7 +97,7 @@
       continue;
     }
     for (auto& [fleet, fleetControl] : m_fleets) {
-      fleetControl.m_holder.OnReadBack(m_leases.Find(LeaseOf(fleet)), base::MonotonicNow());
+      fleetControl.m_holder.OnReadBack(m_leases.Find(LeaseName(fleet)), base::MonotonicNow());
     }
   }
 }
@@ -106,34 +108,34 @@
                              base::TimePoint aNow)
 {
   const std::string self = m_holderName.substr(0, m_holderName.rfind('#'));
-  std::vector<std::string> wanted;
-  m_needsEveryZone = false;
+  std::vector<std::string> leasesToAppend;
+  m_needsAllZones = false;
   for (const config::Fleet* fleet : aFleets) {
     auto& fleetControl =
       m_fleets.try_emplace(fleet->m_name, m_holderName, m_holderOptions).first->second;
-    const auto held = m_leases.Find(LeaseOf(fleet->m_name));
-    const bool mine = held && held->m_holder == m_holderName;
-    const bool first = IsFirst(self, LeaseOf(fleet->m_name), aHosts);
-    if ((mine || first) &&
+    const auto held = m_leases.Find(LeaseName(fleet->m_name));
+    const bool heldHere = held && held->m_holder == m_holderName;
+    const bool ranksFirst = RanksFirst(self, LeaseName(fleet->m_name), aHosts);
+    if ((heldHere || ranksFirst) &&
         fleetControl.m_holder.ShouldAppend(held, m_follower.PlatformTime(aNow), aNow)) {
-      wanted.push_back(LeaseOf(fleet->m_name));
+      leasesToAppend.push_back(LeaseName(fleet->m_name));
       fleetControl.m_holder.OnAppendSent(aNow);
     }
     OrderSwaps(*fleet, fleetControl, aEndpoints, aNow);
   }
-  TakeLeases(wanted, aNow);
+  AppendLeases(leasesToAppend, aNow);
 }
 
-void SwapController::TakeLeases(const std::vector<std::string>& aNames, base::TimePoint)
+void SwapController::AppendLeases(const std::vector<std::string>& aLeaseNames, base::TimePoint)
 {
   const bool canAppend = m_follower.CaughtUp() && m_follower.Reachable();
-  if (aNames.empty() || m_appending || !canAppend) {
+  if (aLeaseNames.empty() || m_appendPending || !canAppend) {
     return;
   }
-  m_appending = true;
-  const control::LeaseRecord record{ m_holderName, aNames, m_holderOptions.m_duration };
+  m_appendPending = true;
+  const control::LeaseRecord record{ m_holderName, aLeaseNames, m_holderOptions.m_duration };
   m_appender.Append(EncodeLease(record), [this](const base::Result<std::uint64_t>& aOffset) {
-    m_appending = false;
+    m_appendPending = false;
     if (aOffset) {
       m_follower.Expect(*aOffset);
     }
@@ -148,17 +150,17 @@
   if (!aControl.m_holder.MaySendOrder(aFleet.m_checksFencing, aNow)) {
     return;
   }
-  if (aControl.m_plannedUnder != aControl.m_holder.CurrentFencingToken()) {
+  if (aControl.m_plannerToken != aControl.m_holder.CurrentFencingToken()) {
     // A new holder knows nothing of earlier orders and reads the actual state instead.
     aControl.m_planner.Reset();
-    aControl.m_plannedUnder = aControl.m_holder.CurrentFencingToken();
+    aControl.m_plannerToken = aControl.m_holder.CurrentFencingToken();
   }
   aControl.m_planner.SetMaxConcurrent(aFleet.m_maxConcurrentSwaps);
-  const auto workers = WorkersOf(aFleet.m_name, aEndpoints);
+  const auto workers = FleetWorkers(aFleet.m_name, aEndpoints);
   const bool anyToSwap = std::any_of(workers.begin(), workers.end(), [&](const auto& aWorker) {
     return aWorker.m_version != aFleet.m_version && !aWorker.m_leaving;
   });
-  m_needsEveryZone = m_needsEveryZone || anyToSwap;
+  m_needsAllZones = m_needsAllZones || anyToSwap;
   for (const control::SwapOrder& order : aControl.m_planner.Plan(aFleet.m_version, workers, aNow)) {
     for (const wire::EndpointStatus& endpoint : aEndpoints) {
       if (endpoint.m_host.m_name == order.m_worker) {
--- a/tools/keeper_main.cpp
+++ b/tools/keeper_main.cpp
@@ -39,11 +39,11 @@
   options.m_host = aSettings.Text("host");
   options.m_zone = aSettings.Text("zone");
   options.m_platform = aSettings.Text("platform");
-  options.m_round = aSettings.Millis("round");
-  options.m_loadPoll = aSettings.Millis("load-poll");
-  options.m_hostListPoll = aSettings.Millis("host-list-poll");
-  options.m_renewAge = aSettings.Millis("renew-age");
-  options.m_lease = aSettings.Millis("lease");
+  options.m_roundInterval = aSettings.Millis("round");
+  options.m_loadPollInterval = aSettings.Millis("load-poll");
+  options.m_hostListPollInterval = aSettings.Millis("host-list-poll");
+  options.m_maxScopeAge = aSettings.Millis("renew-age");
+  options.m_leaseDuration = aSettings.Millis("lease");
   options.m_configurationDue = aSettings.Millis("config-due");
   options.m_incarnation = daemon::NewIncarnation();
   const auto addresses = daemon::ReadAddresses(aSettings,
