--- a/include/ferrytray/keeper/config_sync.hpp
+++ b/include/ferrytray/keeper/config_sync.hpp
@@ -12,31 +12,33 @@
 
 namespace ferrytray::keeper {
 
-/// @brief Keeps the configuration state in step with the platform's log, or with peers while the
-/// log is away.
+/// @brief Synchronizes the configuration state with the platform's log, or with peers while the
+/// log is unreachable.
 class ConfigSync
 {
 public:
   using OnChange = std::function<void()>;
 
-  /// @param aMaxDelay a change is in force within so long after the log took it
+  /// @param aMaxDelay maximum time from the append of a change until it is in force
   ConfigSync(net::Loop& aLoop,
              net::HttpClient& aHttp,
              const std::string& aPlatform,
              base::Duration aMaxDelay);
-  /// @param aOnChange the position or a scope changed
+  /// @param aOnChange called when the position or a scope has changed
   void Start(OnChange aOnChange);
-  /// @brief A peer's state came.
+  /// @brief Merges the state received from a peer.
   void OnPeerState(const wire::StateUpdate& aUpdate);
-  /// @brief Appends a scope again before its last copy leaves the log.
-  /// @param aIsResponsible whether this host is the one to do it
+  /// @brief Appends one scope again, before its last copy is truncated from the log.
+  /// @param aMaxAge a scope is due once its newest copy is older
+  /// @param aIsResponsible whether this host does the renewals
   void RenewDueScope(base::Duration aMaxAge, bool aIsResponsible);
 
   [[nodiscard]] const replay::ConfigReplay& Replay() const { return m_replay; }
-  /// @brief Whether some state is known: the log was read to its end, or a peer told.
+  /// @brief Whether any state is known: the log was read to its end, or a peer sent its state.
   [[nodiscard]] bool Ready() const { return m_follower.CaughtUp() || m_receivedFromPeer; }
   [[nodiscard]] bool LogReachable() const { return m_follower.Reachable(); }
-  /// @brief Whatever the log had taken by then is known here. Peers do not tell when they heard.
+  /// @brief Every record appended to the log before this time is known here. State received from
+  /// peers does not advance it, since it carries no such time.
   [[nodiscard]] std::optional<base::TimePoint> HeardAt() const { return m_follower.HeardAt(); }
 
 private:
--- a/include/ferrytray/keeper/endpoint_watch.hpp
+++ b/include/ferrytray/keeper/endpoint_watch.hpp
@@ -14,7 +14,7 @@
 
 namespace ferrytray::keeper {
 
-/// @brief Follows the platform's host list and the engines' load reports.
+/// @brief Polls the platform's host list and the engines' load reports, and tracks every endpoint.
 class EndpointWatch
 {
 public:
@@ -22,19 +22,22 @@
 
   EndpointWatch(net::Loop& aLoop, net::HttpClient& aHttp, const KeeperOptions& aOptions);
   void Start(OnEntryHosts aOnEntryHosts);
-  /// @brief Any sign that an endpoint leaves.
+  /// @brief Marks one incarnation of an endpoint as leaving. The mark stays until the platform
+  /// lists the endpoint under another incarnation.
   void MarkLeaving(const std::string& aEndpoint, const std::string& aIncarnation);
-  /// @brief Another zone's keeper told of a load.
+  /// @brief Takes a load digest from another keeper if it is newer than the last known report.
   void OnRemoteLoad(const membership::LoadDigest& aDigest, base::TimePoint aNow);
-  /// @brief The live hosts of this zone: each engine is polled by one of them and told of to the
-  /// others, so that the bytes a node spends do not grow with the hosts.
+  /// @brief Sets the live hosts of this zone. Each engine is polled by exactly one of them, which
+  /// gossips the load to the others, so that the traffic per node does not grow with the number of
+  /// hosts.
   void SetZoneHosts(std::vector<std::string> aHosts) { m_zoneHosts = std::move(aHosts); }
-  /// @brief Polls every zone's engines while this host plans weight swaps.
+  /// @brief Polls the engines of all zones while enabled; needed while this host plans weight
+  /// swaps.
   void PollAllZones(bool aEnabled) { m_pollAllZones = aEnabled; }
 
-  /// @brief Endpoints with their loads; leaving ones are marked.
+  /// @brief Returns all listed endpoints with their latest load; leaving ones are flagged.
   [[nodiscard]] std::vector<wire::EndpointStatus> Endpoints(base::TimePoint aNow) const;
-  /// @brief Digests of this zone's engines, a few at a time.
+  /// @brief Returns up to aCount load digests of this zone's engines, in round-robin order.
   std::vector<membership::LoadDigest> NextLoadDigests(std::size_t aCount, base::TimePoint aNow);
   [[nodiscard]] const control::LeavingSet& Leaving() const { return m_leaving; }
 
@@ -48,7 +51,7 @@
   };
 
   void PollHostList();
-  /// @return whether the list could be read
+  /// @return whether the list could be parsed
   bool OnHostList(const std::string& aJson);
   void PollLoads();
   void OnLoad(const std::string& aName, const std::string& aJson);
--- a/include/ferrytray/keeper/half_controller.hpp
+++ b/include/ferrytray/keeper/half_controller.hpp
@@ -14,25 +14,25 @@
 
 namespace ferrytray::keeper {
 
-/// @brief Records the ends of hand-overs in this half's log: its own, once every gate has drained,
-/// and the other half's, once the other half says that it has recorded one.
+/// @brief Records the end of ownership epochs in this half's log: the epochs that this half ended,
+/// once every gate has drained, and those that the other half reports as ended.
 class HalfController
 {
 public:
   HalfController(net::Loop& aLoop, net::HttpClient& aHttp, const KeeperOptions& aOptions);
   void Start();
-  /// @brief One round.
+  /// @brief Runs one control round: appends due records and queries the other half.
   /// @param aRules the rules in force
-  /// @param aListedHosts entry hosts by the platform's list
-  /// @param aMembers members heard of
+  /// @param aListedHosts entry hosts in the platform's host list
+  /// @param aMembers members known by gossip
   /// @param aIsResponsible whether this host acts for the half
   void OnRound(const std::vector<const config::HalfRule*>& aRules,
                const std::set<std::string>& aListedHosts,
                const std::vector<membership::Member>& aMembers,
                bool aIsResponsible);
-  /// @brief What the log says of every rule.
+  /// @brief Returns the ended epochs of every rule in the log.
   [[nodiscard]] wire::HalfUpdate Epochs() const;
-  /// @brief Whether the stream was read to its end once.
+  /// @brief Whether the topic has been read to its end at least once.
   [[nodiscard]] bool CaughtUp() const { return m_follower.CaughtUp(); }
 
 private:
--- a/include/ferrytray/keeper/keeper.hpp
+++ b/include/ferrytray/keeper/keeper.hpp
@@ -19,9 +19,9 @@
 
 namespace ferrytray::keeper {
 
-/// @brief One host's control daemon: configuration, membership, loads, leases, swap orders.
+/// @brief Control daemon of one host: configuration, membership, loads, leases and swap orders.
 ///
-/// It never carries caller traffic; its gate goes on with the last state when it is gone.
+/// It never carries caller traffic. If it is down, the gate continues with the last state.
 class Keeper
 {
 public:
@@ -31,7 +31,7 @@
   [[nodiscard]] virtual net::Address HttpAddress() const = 0;
   [[nodiscard]] virtual net::Address ControlAddress() const = 0;
   [[nodiscard]] virtual net::Address GossipAddress() const = 0;
-  /// @brief Tells the peers, then calls.
+  /// @brief Announces the shutdown to the peers for a few rounds, then calls aDone.
   virtual void Leave(std::function<void()> aDone) = 0;
 };
 
--- a/include/ferrytray/keeper/operator_pages.hpp
+++ b/include/ferrytray/keeper/operator_pages.hpp
@@ -12,7 +12,7 @@
 
 namespace ferrytray::keeper {
 
-/// @brief What the pages show.
+/// @brief The parts of a keeper that the operator pages read and change.
 struct OperatorView
 {
   const std::string& m_host;
@@ -22,12 +22,12 @@
   telemetry::Metrics& m_metrics;
 };
 
-/// @brief Answers what operators ask a keeper: health, readiness, metrics, status, and their wish
-/// that an endpoint gets nothing new.
+/// @brief Handles the HTTP requests of operators: health, readiness, metrics, status, and draining
+/// an endpoint.
 class OperatorPages
 {
 public:
-  /// @param aOnDrainStarted an endpoint was marked as leaving
+  /// @param aOnDrainStarted called after an endpoint was marked as leaving
   OperatorPages(const OperatorView& aView, std::function<void()> aOnDrainStarted);
   void Handle(const net::HttpRequest& aRequest,
               net::HttpReply& aReply,
--- a/include/ferrytray/keeper/peer_catch_up.hpp
+++ b/include/ferrytray/keeper/peer_catch_up.hpp
@@ -9,15 +9,15 @@
 
 namespace ferrytray::keeper {
 
-/// @brief Asks a peer that is ahead for its configuration, so that a host that is cut off from the
-/// log still learns.
+/// @brief Requests the configuration from a peer with a higher position, so that a host that
+/// cannot reach the log still receives changes.
 class PeerCatchUp
 {
 public:
-  /// Keeps references to the loop and the configuration.
+  /// @brief Keeps references to the loop and the configuration, which must outlive this object.
   /// @param aHost this host's name
   PeerCatchUp(net::Loop& aLoop, ConfigSync& aConfig, std::string aHost);
-  /// @brief Asks one peer, unless the log answers or a peer has not answered yet.
+  /// @brief Sends a request to one peer, unless the log is reachable or a request is pending.
   void RequestStateIfBehind(std::span<const membership::Member> aLive);
 
 private:
--- a/include/ferrytray/keeper/share_calculator.hpp
+++ b/include/ferrytray/keeper/share_calculator.hpp
@@ -10,20 +10,21 @@
 
 namespace ferrytray::keeper {
 
-/// @brief What each host's gate saw of each account, and the shares that follow from it.
+/// @brief Tracks each host's demand by account and computes this host's share of each account's
+/// limits.
 class ShareCalculator
 {
 public:
-  /// @brief This host's gate reported its demand (requests a second by account).
+  /// @brief Records the demand reported by this host's gate, in requests per second by account.
   void OnOwnDemand(const std::vector<std::pair<std::string, double>>& aDemand);
-  /// @brief A peer's digest came.
+  /// @brief Replaces the demand of a peer host with that of its latest digest.
   void OnPeerDemand(const std::string& aHost,
                     const std::vector<membership::DemandDigest>& aDemand,
                     base::TimePoint aNow);
-  /// @brief The heaviest accounts here, for the next datagram.
+  /// @brief Returns this host's aCount accounts with the highest demand, for the next datagram.
   [[nodiscard]] std::vector<membership::DemandDigest> Digest(std::size_t aCount) const;
-  /// @brief This host's share of every account heard of.
-  /// @param aGates live hosts, this one included
+  /// @brief Computes this host's share of every account with reported demand.
+  /// @param aGates number of live hosts, including this one
   [[nodiscard]] wire::ShareUpdate Shares(std::uint32_t aGates, base::TimePoint aNow) const;
 
 private:
--- a/include/ferrytray/keeper/swap_controller.hpp
+++ b/include/ferrytray/keeper/swap_controller.hpp
@@ -14,22 +14,23 @@
 
 namespace ferrytray::keeper {
 
-/// @brief Orders weight swaps, one holder a fleet at a time, by leases in the platform's log.
+/// @brief Orders weight swaps. A lease in the platform's log ensures that one host at a time
+/// controls a fleet.
 class SwapController
 {
 public:
   SwapController(net::Loop& aLoop, net::HttpClient& aHttp, const KeeperOptions& aOptions);
   void Start();
-  /// @brief One round: leases taken and renewed, orders sent.
+  /// @brief Runs one control round: acquires and renews leases, then sends swap orders.
   /// @param aFleets the fleets in force
-  /// @param aEndpoints every endpoint known
-  /// @param aHosts live hosts; the first in rendezvous order of a fleet takes its lease
+  /// @param aEndpoints all known endpoints
+  /// @param aHosts live hosts; the one with the highest rendezvous hash acquires a fleet's lease
   void OnRound(const std::vector<const config::Fleet*>& aFleets,
                const std::vector<wire::EndpointStatus>& aEndpoints,
                const std::vector<std::string>& aHosts,
                base::TimePoint aNow);
-  /// @brief Whether this host holds the lease of a fleet that has workers to swap, so that it
-  /// needs every zone's loads at first hand.
+  /// @brief Whether this host holds the lease of a fleet that has workers to swap, so that it has
+  /// to poll the loads of all zones itself.
   [[nodiscard]] bool NeedsAllZones() const { return m_needsAllZones; }
   [[nodiscard]] const control::LeaseTable& Leases() const { return m_leases; }
 
--- a/src/ferrytray/keeper/config_sync.cpp
+++ b/src/ferrytray/keeper/config_sync.cpp
@@ -66,7 +66,7 @@
 void ConfigSync::OnPage(const wire::LogPage& aPage)
 {
   std::vector<replay::LoggedRecord> decodedRecords = DecodeRecords(aPage.m_records);
-  // A reader that fell behind the log's head starts anew from what is kept.
+  // If records were truncated before this host read them, bootstrap again from the retained ones.
   const bool skippedRecords =
     m_bootstrapped && aPage.m_firstKept > m_replay.Position() + 1 && !decodedRecords.empty();
   if (m_bootstrapped && !skippedRecords) {
--- a/src/ferrytray/keeper/endpoint_watch.cpp
+++ b/src/ferrytray/keeper/endpoint_watch.cpp
@@ -52,7 +52,8 @@
                [this](const net::ClientOutcome& aOutcome, const std::string& aBody) {
                  m_hostListPending = false;
                  const bool complete = aOutcome.m_end == net::WireEnd::Complete;
-                 // The platform says "not modified" to a tag; so only of a list that was taken.
+                 // Keep the ETag only of an accepted list: the platform replies "not modified" to
+                 // it and does not send that list again.
                  if (complete && aOutcome.m_status == kOk && OnHostList(aBody)) {
                    m_hostListEtag = aOutcome.m_etag;
                  }
--- a/src/ferrytray/keeper/endpoint_watch_test.cpp
+++ b/src/ferrytray/keeper/endpoint_watch_test.cpp
@@ -1,7 +1,6 @@
-// Found by reading, looking for silence that is taken for no news: the platform answers "not
-// modified" to a tag that this keeper sends it. The keeper kept the tag of a list whose answer
-// broke off or could not be read, so it was told "not modified" of a list that it had never taken,
-// until the next change of any host: leaving endpoints got work, new ones none.
+// Guards against keeping the ETag of a host list whose reply was truncated or could not be parsed.
+// The platform then replied "not modified" for a list that the keeper had never accepted, until
+// the next change of any host: leaving endpoints still got work and new ones got none.
 #include "ferrytray/keeper/endpoint_watch.hpp"
 
 #include "tests/support/fake_http.hpp" // for FakeHttpClient
@@ -24,7 +23,7 @@
   support::FakeHttpClient m_http;
   keeper::KeeperOptions m_options;
   std::unique_ptr<keeper::EndpointWatch> m_watch;
-  std::size_t m_acceptedLists = 0; ///< lists
+  std::size_t m_acceptedLists = 0;
 
   void setup() override
   {
@@ -40,7 +39,7 @@
     m_http.Data(aBody);
     m_http.End(aEnd, "\"7\"");
   }
-  /// Whether the next question lets the platform answer "not modified".
+  /// Whether the next request carries a tag, so that the platform may reply "not modified".
   bool NextRequestIsConditional()
   {
     const std::size_t requestCount = m_http.m_calls.size();
--- a/src/ferrytray/keeper/half_controller.cpp
+++ b/src/ferrytray/keeper/half_controller.cpp
@@ -18,7 +18,8 @@
 constexpr const char* kReceived = "received";
 constexpr base::Duration kQueryTimeout = std::chrono::seconds(2);
 
-/// Every listed host must say so itself: one that is cut off may still serve by its old file.
+/// Whether every listed host reports aRuleEpoch as drained. A partitioned host that has not
+/// reported may still serve by its old configuration.
 bool EveryGateDrained(const std::string& aRuleEpoch,
                       const std::set<std::string>& aListedHosts,
                       const std::vector<membership::Member>& aMembers)
--- a/src/ferrytray/keeper/keeper.cpp
+++ b/src/ferrytray/keeper/keeper.cpp
@@ -23,7 +23,7 @@
 constexpr int kSuspectAfterRounds = 12;
 constexpr int kDeadAfterRounds = 30;
 
-/// A gate or a peer that is told of every change.
+/// A connected gate or peer keeper, which receives every state change.
 struct Subscriber
 {
   std::shared_ptr<net::FrameChannel> m_channel;
@@ -32,7 +32,7 @@
   std::uint64_t m_sentPosition = 0;
 };
 
-/// Hosts that are alive, of one zone or, if that is empty, of all.
+/// Returns the names of the alive hosts in aZone, or in all zones if aZone is empty.
 std::vector<std::string> AliveHosts(std::span<const membership::Member> aLive,
                                     const std::string& aZone)
 {
@@ -123,7 +123,7 @@
   }
 
 private:
-  /// Peers from the settings stand in for the host list until it can be read.
+  /// Uses the peers from the settings as members until the host list can be read.
   void SeedMembers()
   {
     std::vector<membership::Member> seeds;
@@ -143,7 +143,7 @@
     for (const replay::ScopeState& scope : m_config.Replay().AcceptedSince(m_parsedPosition)) {
       auto parsed = config::Parse(scope.m_body, scope.m_scope);
       if (parsed) {
-        // Accounts are the gate's business; at 27,000 of them they would take 18 MB here.
+        // Only the gate uses the accounts; 27,000 of them would take 18 MB in this process.
         parsed->m_accounts.clear();
         m_registry.Put(std::make_shared<config::Document>(std::move(*parsed)));
       }
@@ -307,8 +307,8 @@
     PushHalfEpochs();
     m_endpoints.SetZoneHosts(AliveHosts(live, m_options.m_zone));
     m_endpoints.PollAllZones(m_swapController.NeedsAllZones());
-    // The lowest name renews: a second one now and then would do no harm. Not every round, since
-    // it looks at every scope.
+    // The host with the lowest name renews; if two hosts do so at times, it does no harm. The check
+    // scans every scope, so it doesn't run in every round.
     if (++m_roundCount % kRoundsPerRenewalCheck != 0) {
       return;
     }
@@ -333,7 +333,8 @@
     m_gossip->SendTo(*address, bytes);
   }
 
-  /// What is in force on this host: its gate's position when it has a gate.
+  /// Returns the configuration position in force on this host. With a gate connected, that is the
+  /// gate's position if it is behind the keeper's.
   [[nodiscard]] std::uint64_t PositionInForce() const
   {
     const std::uint64_t ownPosition = m_config.Replay().Position();
--- a/src/ferrytray/keeper/lease_codec.hpp
+++ b/src/ferrytray/keeper/lease_codec.hpp
@@ -8,9 +8,9 @@
 
 namespace ferrytray::keeper {
 
-/// One log record's bytes.
+/// Encodes a lease record as the body of a log record (JSON).
 std::string EncodeLease(const control::LeaseRecord& aRecord);
-/// Reads what EncodeLease wrote; PlatformMalformed for anything else.
+/// Decodes the output of EncodeLease; returns PlatformMalformed for any other input.
 base::Result<control::LeaseRecord> DecodeLease(std::string_view aBytes);
 
 } // namespace ferrytray::keeper
--- a/src/ferrytray/keeper/peer_catch_up.cpp
+++ b/src/ferrytray/keeper/peer_catch_up.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A peer on the same network answers in milliseconds; then another one is asked next round.
+/// A peer on the same network replies within milliseconds. After the timeout, the next round
+/// sends a new request.
 constexpr base::Duration kReplyTimeout = std::chrono::seconds(2);
 
 } // namespace
--- a/src/ferrytray/keeper/status_json.hpp
+++ b/src/ferrytray/keeper/status_json.hpp
@@ -9,7 +9,7 @@
 
 namespace ferrytray::keeper {
 
-/// What an operator is told of a keeper.
+/// State of a keeper as shown to operators.
 struct StatusView
 {
   const std::string& m_host;
@@ -20,7 +20,7 @@
   std::vector<wire::EndpointStatus> m_endpoints;
 };
 
-/// The answer to GET /status.
+/// Renders the reply body of GET /status.
 std::string StatusJson(const StatusView& aView);
 
 } // namespace ferrytray::keeper
--- a/src/ferrytray/keeper/swap_controller.cpp
+++ b/src/ferrytray/keeper/swap_controller.cpp
@@ -32,7 +32,7 @@
   return options;
 }
 
-/// Whether this host is the first of a lease in rendezvous order.
+/// Whether this host has the highest rendezvous hash for a lease among the given hosts.
 bool RanksFirst(const std::string& aSelf,
                 const std::string& aLease,
                 const std::vector<std::string>& aHosts)
@@ -151,7 +151,8 @@
     return;
   }
   if (aControl.m_plannerToken != aControl.m_holder.CurrentFencingToken()) {
-    // A new holder knows nothing of earlier orders and reads the actual state instead.
+    // A new holder does not know the orders of the previous one, so it plans from the versions
+    // that the workers report.
     aControl.m_planner.Reset();
     aControl.m_plannerToken = aControl.m_holder.CurrentFencingToken();
   }
