--- a/include/ferrytray/keeper/config_sync.hpp
+++ b/include/ferrytray/keeper/config_sync.hpp
@@ -39,7 +39,10 @@
   [[nodiscard]] bool LogReachable() const { return m_follower.Reachable(); }
   /// @brief Every record appended to the log before this time is known here. State received from
   /// peers does not advance it, since it carries no such time.
-  [[nodiscard]] std::optional<base::TimePoint> HeardAt() const { return m_follower.HeardAt(); }
+  [[nodiscard]] std::optional<base::TimePoint> CurrentAsOf() const
+  {
+    return m_follower.CurrentAsOf();
+  }
 
 private:
   void OnPage(const wire::LogPage& aPage);
--- a/include/ferrytray/wire/frames.hpp
+++ b/include/ferrytray/wire/frames.hpp
@@ -73,16 +73,16 @@
 
 /// @brief A gate asks its keeper how old the configuration may be. A frame of its own, so that a
 /// keeper of an older version passes over it and still reads the gate's reports.
-struct ConfigurationAgeQuestion
+struct ConfigurationAgeRequest
 {
-  std::uint64_t m_number = 0; ///< counts up at each gate
+  std::uint64_t m_requestId = 0; ///< counts up at each gate
 };
 
 /// @brief The answer. The gate counts from when it asked, so that frames that lay in a buffer while
 /// it stood still seem no fresher.
 struct ConfigurationAge
 {
-  std::uint64_t m_question = 0; ///< its number
+  std::uint64_t m_requestId = 0; ///< its number
   /// Since the keeper's last answered read of the log was begun.
   std::uint64_t m_ageMillis = 0;
 };
@@ -122,7 +122,7 @@
                            TicketHandover,
                            TicketAck,
                            HalfUpdate,
-                           ConfigurationAgeQuestion,
+                           ConfigurationAgeRequest,
                            ConfigurationAge>;
 
 /// @brief A frame's bytes (cereal's binary archive).
--- a/include/ferrytray/wire/half_view.hpp
+++ b/include/ferrytray/wire/half_view.hpp
@@ -7,7 +7,7 @@
 namespace ferrytray::wire {
 
 /// @brief A hand-over rule as its decisions see it: what the file wishes, what the log says.
-[[nodiscard]] control::HalfView HalfViewOf(const config::HalfRule& aRule,
-                                           const HalfEpochs& aEpochs);
+[[nodiscard]] control::HalfView MakeHalfView(const config::HalfRule& aRule,
+                                             const HalfEpochs& aEpochs);
 
 } // namespace ferrytray::wire
--- a/include/ferrytray/wire/log_client.hpp
+++ b/include/ferrytray/wire/log_client.hpp
@@ -23,9 +23,9 @@
 /// @brief The answer to one read.
 struct LogPage
 {
-  std::uint64_t m_firstKept = 1; ///< lower offsets have left the log
-  std::uint64_t m_next = 1;      ///< the offset that the next append gets
-  base::Duration m_now{};        ///< the platform's clock
+  std::uint64_t m_firstRetained = 1; ///< lower offsets have left the log
+  std::uint64_t m_endOffset = 1;     ///< the offset that the next append gets
+  base::Duration m_now{};            ///< the platform's clock
   std::vector<LogRecord> m_records;
 };
 
@@ -37,7 +37,7 @@
   using ReadDone = std::function<void(base::Result<LogPage>)>;
 
   /// @param aPlatform "http://IP:PORT"
-  LogClient(net::HttpClient& aHttp, std::string aPlatform, std::string aStream);
+  LogClient(net::HttpClient& aHttp, std::string aPlatform, std::string aTopic);
   ~LogClient();
 
   /// @brief Appends one record.
@@ -45,16 +45,19 @@
   void Append(std::string aBody, AppendDone aDone);
   /// @brief Reads from an offset on; waits for news when there is none.
   /// @param aWait how long the platform may hold the answer back
-  /// @param aPatience for the answer, beyond that
-  void Read(std::uint64_t aFrom, base::Duration aWait, base::Duration aPatience, ReadDone aDone);
+  /// @param aReplyTimeout for the answer, beyond that
+  void Read(std::uint64_t aFrom,
+            base::Duration aWait,
+            base::Duration aReplyTimeout,
+            ReadDone aDone);
 
 private:
   /// Sends it, and tells what the answer's body says or why there is none.
   template<typename Parse, typename Done>
-  void Ask(net::ClientRequest aRequest, const char* aCall, Parse aParse, Done aDone);
+  void Send(net::ClientRequest aRequest, const char* aErrorPrefix, Parse aParse, Done aDone);
 
   net::HttpClient& m_http;
-  std::string m_base;
+  std::string m_topicUrl;
   std::shared_ptr<bool> m_alive;
 };
 
--- a/src/ferrytray/gate/claims_link.cpp
+++ b/src/ferrytray/gate/claims_link.cpp
@@ -108,7 +108,7 @@
   m_appender.Append(once::EncodeEntries(aAction.m_entries),
                     [this](const base::Result<std::uint64_t>& aOffset) {
                       if (aOffset) {
-                        m_follower.Expect(*aOffset);
+                        m_follower.ExpectRecord(*aOffset);
                       }
                       Perform(m_coordinator.OnAppendEnded(aOffset.has_value()));
                     });
--- a/src/ferrytray/gate/crash_link.cpp
+++ b/src/ferrytray/gate/crash_link.cpp
@@ -61,7 +61,7 @@
 
 CrashLink::CrashLink(net::Loop& aLoop, net::HttpClient& aHttp, const GateOptions& aOptions)
   : m_loop(aLoop)
-  , m_follower(aLoop, aHttp, aOptions.m_platform, kStream, wire::FollowWithin(kKnownWithin))
+  , m_follower(aLoop, aHttp, aOptions.m_platform, kStream, wire::MakeFollowerOptions(kKnownWithin))
   , m_appender(aHttp, aOptions.m_platform, kStream)
 {
 }
@@ -138,7 +138,7 @@
   m_appender.Append(Encode(told), [this, told](const base::Result<std::uint64_t>& aOffset) {
     m_appending = false;
     if (aOffset) {
-      m_follower.Expect(*aOffset);
+      m_follower.ExpectRecord(*aOffset);
     } else {
       // It may have been written; told twice, it counts once.
       m_untold.insert(m_untold.begin(), told.begin(), told.end());
--- a/src/ferrytray/gate/gate.cpp
+++ b/src/ferrytray/gate/gate.cpp
@@ -12,7 +12,7 @@
 #include "ferrytray/gate/service_exchange.hpp" // for ServiceExchange
 #include "ferrytray/gate/ticket_handover.hpp"  // for TicketMover
 #include "ferrytray/telemetry/log_line.hpp"    // for LogLine
-#include "ferrytray/wire/half_view.hpp"        // for HalfViewOf
+#include "ferrytray/wire/half_view.hpp"        // for MakeHalfView
 
 namespace ferrytray::gate {
 
@@ -264,7 +264,7 @@
       return {};
     }
     const auto epochs = m_core.m_keeper->Epochs(aRule->m_name);
-    if (epochs && control::MayServe(wire::HalfViewOf(*aRule, *epochs))) {
+    if (epochs && control::MayServe(wire::MakeHalfView(*aRule, *epochs))) {
       return {};
     }
     return tl::unexpected(base::Failure{ ErrorCode::OtherHalfOwns,
--- a/src/ferrytray/gate/keeper_link.cpp
+++ b/src/ferrytray/gate/keeper_link.cpp
@@ -65,13 +65,13 @@
   if (m_askedAt.size() > kQuestionsKept) {
     m_askedAt.pop_back();
   }
-  m_channel->Send(wire::EncodeFrame(wire::ConfigurationAgeQuestion{ ++m_asked }));
+  m_channel->Send(wire::EncodeFrame(wire::ConfigurationAgeRequest{ ++m_asked }));
 }
 
 void KeeperLink::Handle(const wire::ConfigurationAge& aAge)
 {
-  const std::uint64_t since = m_asked - aAge.m_question;
-  if (aAge.m_question > m_asked || since >= m_askedAt.size()) {
+  const std::uint64_t since = m_asked - aAge.m_requestId;
+  if (aAge.m_requestId > m_asked || since >= m_askedAt.size()) {
     return; // in answer to one that was sent too long ago
   }
   const base::TimePoint heardAt = m_askedAt[since] - std::chrono::milliseconds(aAge.m_ageMillis);
--- a/src/ferrytray/keeper/config_sync.cpp
+++ b/src/ferrytray/keeper/config_sync.cpp
@@ -47,7 +47,7 @@
                        net::HttpClient& aHttp,
                        const std::string& aPlatform,
                        base::Duration aMaxDelay)
-  : m_follower(aLoop, aHttp, aPlatform, kTopic, wire::FollowWithin(aMaxDelay))
+  : m_follower(aLoop, aHttp, aPlatform, kTopic, wire::MakeFollowerOptions(aMaxDelay))
   , m_appender(aHttp, aPlatform, kTopic)
 {
 }
@@ -68,7 +68,7 @@
   std::vector<replay::LoggedRecord> decodedRecords = DecodeRecords(aPage.m_records);
   // If records were truncated before this host read them, bootstrap again from the retained ones.
   const bool skippedRecords =
-    m_bootstrapped && aPage.m_firstKept > m_replay.Position() + 1 && !decodedRecords.empty();
+    m_bootstrapped && aPage.m_firstRetained > m_replay.Position() + 1 && !decodedRecords.empty();
   if (m_bootstrapped && !skippedRecords) {
     for (const replay::LoggedRecord& record : decodedRecords) {
       const auto outcome = m_replay.Apply(record);
@@ -79,8 +79,8 @@
   }
   m_bootstrapRecords.insert(m_bootstrapRecords.end(), decodedRecords.begin(), decodedRecords.end());
   const std::uint64_t lastOffset =
-    aPage.m_records.empty() ? aPage.m_next - 1 : aPage.m_records.back().m_offset;
-  if (lastOffset + 1 < aPage.m_next) {
+    aPage.m_records.empty() ? aPage.m_endOffset - 1 : aPage.m_records.back().m_offset;
+  if (lastOffset + 1 < aPage.m_endOffset) {
     return;
   }
   m_replay.Bootstrap(m_bootstrapRecords);
--- a/src/ferrytray/keeper/half_controller.cpp
+++ b/src/ferrytray/keeper/half_controller.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp> // for json
 
 #include "ferrytray/telemetry/log_line.hpp" // for LogLine
-#include "ferrytray/wire/half_view.hpp"     // for HalfViewOf
+#include "ferrytray/wire/half_view.hpp"     // for MakeHalfView
 
 namespace ferrytray::keeper {
 
@@ -92,7 +92,7 @@
     return;
   }
   for (const config::HalfRule* rule : aRules) {
-    const control::HalfView view = wire::HalfViewOf(*rule, EpochsOf(rule->m_name));
+    const control::HalfView view = wire::MakeHalfView(*rule, EpochsOf(rule->m_name));
     const std::string ruleEpoch = rule->m_name + "@" + std::to_string(rule->m_epoch);
     if (control::MayRecordEpochEnd(view, EveryGateDrained(ruleEpoch, aListedHosts, aMembers))) {
       AppendRecord(kGiven, rule->m_name, rule->m_epoch);
@@ -113,7 +113,7 @@
                     [this](const base::Result<std::uint64_t>& aOffset) {
                       m_appendPending = false;
                       if (aOffset) {
-                        m_follower.Expect(*aOffset);
+                        m_follower.ExpectRecord(*aOffset);
                       }
                     });
 }
--- a/src/ferrytray/keeper/keeper.cpp
+++ b/src/ferrytray/keeper/keeper.cpp
@@ -205,16 +205,17 @@
       PushPeers();
     } else if (const auto* report = std::get_if<wire::GateReport>(&*frame)) {
       OnGateReport(*report);
-    } else if (const auto* question = std::get_if<wire::ConfigurationAgeQuestion>(&*frame)) {
-      SendConfigurationAge(*found->m_channel, question->m_number);
+    } else if (const auto* ageRequest = std::get_if<wire::ConfigurationAgeRequest>(&*frame)) {
+      SendConfigurationAge(*found->m_channel, ageRequest->m_requestId);
     }
   }
 
-  void SendConfigurationAge(net::FrameChannel& aGate, std::uint64_t aQuestion) const
+  void SendConfigurationAge(net::FrameChannel& aGate, std::uint64_t aRequestId) const
   {
-    if (const auto heardAt = m_config.HeardAt()) {
-      const auto age = static_cast<std::uint64_t>(base::ToMillis(base::MonotonicNow() - *heardAt));
-      aGate.Send(wire::EncodeFrame(wire::ConfigurationAge{ aQuestion, age + 1 })); // rounded up
+    if (const auto currentAsOf = m_config.CurrentAsOf()) {
+      const auto age =
+        static_cast<std::uint64_t>(base::ToMillis(base::MonotonicNow() - *currentAsOf));
+      aGate.Send(wire::EncodeFrame(wire::ConfigurationAge{ aRequestId, age + 1 })); // rounded up
     }
   }
 
--- a/src/ferrytray/keeper/swap_controller.cpp
+++ b/src/ferrytray/keeper/swap_controller.cpp
@@ -137,7 +137,7 @@
   m_appender.Append(EncodeLease(record), [this](const base::Result<std::uint64_t>& aOffset) {
     m_appendPending = false;
     if (aOffset) {
-      m_follower.Expect(*aOffset);
+      m_follower.ExpectRecord(*aOffset);
     }
   });
 }
--- a/src/ferrytray/wire/endpoint.cpp
+++ b/src/ferrytray/wire/endpoint.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-Role RoleFrom(const std::string& aText)
+Role ParseRole(const std::string& aText)
 {
   static const std::map<std::string, Role> kRoles{ { "entry", Role::Entry },
                                                    { "engine", Role::Engine },
@@ -24,11 +24,11 @@
   return found->second;
 }
 
-ListedHost HostFrom(const json& aRow)
+ListedHost ParseHost(const json& aRow)
 {
   ListedHost host;
   host.m_name = aRow.at("name").get<std::string>();
-  host.m_role = RoleFrom(aRow.at("role").get<std::string>());
+  host.m_role = ParseRole(aRow.at("role").get<std::string>());
   host.m_pool = aRow.value("pool", "");
   host.m_zone = aRow.value("zone", "");
   host.m_address = aRow.at("address").get<std::string>();
@@ -45,7 +45,7 @@
     const json list = json::parse(aJson);
     std::vector<ListedHost> hosts;
     for (const json& row : list.at("hosts")) {
-      hosts.push_back(HostFrom(row));
+      hosts.push_back(ParseHost(row));
     }
     return hosts;
   } catch (const std::exception& error) {
--- a/src/ferrytray/wire/frames.cpp
+++ b/src/ferrytray/wire/frames.cpp
@@ -27,34 +27,35 @@
 namespace {
 
 /// Texts with a length of two bytes instead of eight: datagrams are many and names are short.
-struct ShortText
+struct ShortString
 {
-  std::string& m_text;
+  std::string& m_string;
 };
 
 template<typename Archive>
-void save(Archive& aArchive, const ShortText& aShort)
+void save(Archive& aArchive, const ShortString& aString)
 {
-  const auto size = static_cast<std::uint16_t>(std::min<std::size_t>(aShort.m_text.size(), 0xFFFF));
+  const auto size =
+    static_cast<std::uint16_t>(std::min<std::size_t>(aString.m_string.size(), 0xFFFF));
   aArchive(size);
-  aArchive(cereal::binary_data(aShort.m_text.data(), size));
+  aArchive(cereal::binary_data(aString.m_string.data(), size));
 }
 
 template<typename Archive>
-void load(Archive& aArchive, ShortText& aShort)
+void load(Archive& aArchive, ShortString& aString)
 {
   std::uint16_t size = 0;
   aArchive(size);
-  aShort.m_text.resize(size);
-  aArchive(cereal::binary_data(aShort.m_text.data(), size));
+  aString.m_string.resize(size);
+  aArchive(cereal::binary_data(aString.m_string.data(), size));
 }
 
-template<typename Archive, typename... Texts>
-void Shorts(Archive& aArchive, Texts&... aTexts)
+template<typename Archive, typename... Strings>
+void SerializeShort(Archive& aArchive, Strings&... aStrings)
 {
   (
     [&] {
-      ShortText text{ aTexts };
+      ShortString text{ aStrings };
       aArchive(text);
     }(),
     ...);
@@ -63,17 +64,18 @@
 } // namespace
 
 template<typename Archive>
-void serialize(Archive& aArchive, MemberHeartbeat& aPulse)
+void serialize(Archive& aArchive, MemberHeartbeat& aHeartbeat)
 {
-  Shorts(aArchive, aPulse.m_host);
-  aArchive(aPulse.m_incarnation, aPulse.m_heartbeat, aPulse.m_position, aPulse.m_state);
+  SerializeShort(aArchive, aHeartbeat.m_host);
+  aArchive(
+    aHeartbeat.m_incarnation, aHeartbeat.m_heartbeat, aHeartbeat.m_position, aHeartbeat.m_state);
 }
 
 template<typename Archive>
 void serialize(Archive& aArchive, Member& aMember)
 {
-  Shorts(aArchive, aMember.m_host, aMember.m_zone, aMember.m_gossip, aMember.m_control);
-  Shorts(aArchive, aMember.m_gate, aMember.m_gateControl);
+  SerializeShort(aArchive, aMember.m_host, aMember.m_zone, aMember.m_gossip, aMember.m_control);
+  SerializeShort(aArchive, aMember.m_gate, aMember.m_gateControl);
   aArchive(aMember.m_incarnation, aMember.m_heartbeat, aMember.m_position, aMember.m_state);
   aArchive(aMember.m_tickets, aMember.m_drained);
 }
@@ -81,14 +83,14 @@
 template<typename Archive>
 void serialize(Archive& aArchive, LoadDigest& aLoad)
 {
-  Shorts(aArchive, aLoad.m_worker, aLoad.m_version);
+  SerializeShort(aArchive, aLoad.m_worker, aLoad.m_version);
   aArchive(aLoad.m_queuedMillis, aLoad.m_ageMillis, aLoad.m_tokensPerSecond);
 }
 
 template<typename Archive>
 void serialize(Archive& aArchive, DemandDigest& aDemand)
 {
-  Shorts(aArchive, aDemand.m_account);
+  SerializeShort(aArchive, aDemand.m_account);
   aArchive(aDemand.m_perSecond);
 }
 
@@ -194,15 +196,15 @@
 }
 
 template<typename Archive>
-void serialize(Archive& aArchive, ConfigurationAgeQuestion& aFrame)
+void serialize(Archive& aArchive, ConfigurationAgeRequest& aFrame)
 {
-  aArchive(aFrame.m_number);
+  aArchive(aFrame.m_requestId);
 }
 
 template<typename Archive>
 void serialize(Archive& aArchive, ConfigurationAge& aFrame)
 {
-  aArchive(aFrame.m_question, aFrame.m_ageMillis);
+  aArchive(aFrame.m_requestId, aFrame.m_ageMillis);
 }
 
 template<typename Archive>
@@ -232,7 +234,7 @@
 namespace {
 
 template<typename Message>
-std::string EncodeAny(const Message& aMessage)
+std::string Encode(const Message& aMessage)
 {
   std::ostringstream bytes;
   {
@@ -243,7 +245,7 @@
 }
 
 template<typename Message>
-base::Result<Message> DecodeAny(std::string_view aBytes, const char* aWhat)
+base::Result<Message> Decode(std::string_view aBytes, const char* aKind)
 {
   try {
     net::BoundedInputArchive archive(aBytes);
@@ -251,7 +253,7 @@
     archive(message);
     return message;
   } catch (const std::exception& error) {
-    return base::Fail(base::ErrorCode::PlatformMalformed, std::string(aWhat) + ": " + error.what());
+    return base::Fail(base::ErrorCode::PlatformMalformed, std::string(aKind) + ": " + error.what());
   }
 }
 
@@ -259,22 +261,22 @@
 
 std::string EncodeFrame(const Frame& aFrame)
 {
-  return EncodeAny(aFrame);
+  return Encode(aFrame);
 }
 
 base::Result<Frame> DecodeFrame(std::string_view aBytes)
 {
-  return DecodeAny<Frame>(aBytes, "frame");
+  return Decode<Frame>(aBytes, "frame");
 }
 
 std::string EncodeGossip(const membership::GossipMessage& aMessage)
 {
-  return EncodeAny(aMessage);
+  return Encode(aMessage);
 }
 
 base::Result<membership::GossipMessage> DecodeGossip(std::string_view aBytes)
 {
-  return DecodeAny<membership::GossipMessage>(aBytes, "datagram");
+  return Decode<membership::GossipMessage>(aBytes, "datagram");
 }
 
 } // namespace ferrytray::wire
--- a/src/ferrytray/wire/frames_test.cpp
+++ b/src/ferrytray/wire/frames_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-wire::Frame Example()
+wire::Frame MakeExampleUpdate()
 {
   wire::EndpointStatus engine;
   engine.m_host = { "w1", wire::Role::Engine, "lab", "z1", "127.0.0.1:9", "7", true };
@@ -20,35 +20,35 @@
 
 TEST_GROUP(Frames){};
 
-TEST(Frames, SurviveTheirEncoding)
+TEST(Frames, RoundTripThroughEncoding)
 {
-  const std::string bytes = wire::EncodeFrame(Example());
-  const auto back = wire::DecodeFrame(bytes);
-  const auto& engine = std::get<wire::EndpointUpdate>(*back).m_endpoints.front();
+  const std::string bytes = wire::EncodeFrame(MakeExampleUpdate());
+  const auto decoded = wire::DecodeFrame(bytes);
+  const auto& engine = std::get<wire::EndpointUpdate>(*decoded).m_endpoints.front();
   STRCMP_EQUAL("lab", engine.m_host.m_pool.c_str());
   CHECK(engine.m_host.m_leaving);
   LONGS_EQUAL(120, engine.m_load.m_queuedMillis);
-  STRCMP_EQUAL(bytes.c_str(), wire::EncodeFrame(*back).c_str());
+  STRCMP_EQUAL(bytes.c_str(), wire::EncodeFrame(*decoded).c_str());
 }
 
-TEST(Frames, DamagedBytesGiveAnErrorAndNoCrash)
+TEST(Frames, RejectDamagedBytesWithoutCrashing)
 {
-  const bool holds = rc::check("damaged frames", [] {
-    std::string bytes = wire::EncodeFrame(Example());
-    const auto length = *rc::gen::inRange<std::size_t>(0, bytes.size());
+  const bool passed = rc::check("damaged frames", [] {
+    std::string bytes = wire::EncodeFrame(MakeExampleUpdate());
+    const auto offset = *rc::gen::inRange<std::size_t>(0, bytes.size());
     if (*rc::gen::arbitrary<bool>()) {
-      bytes.resize(length);
+      bytes.resize(offset);
       RC_ASSERT(!wire::DecodeFrame(bytes).has_value());
     } else {
-      bytes[length] = *rc::gen::arbitrary<char>();
+      bytes[offset] = *rc::gen::arbitrary<char>();
       static_cast<void>(wire::DecodeFrame(bytes));
     }
   });
-  CHECK(holds);
+  CHECK(passed);
   CHECK_FALSE(wire::DecodeGossip("").has_value());
 }
 
-TEST(Frames, HostListsAndLoadReportsAreReadOrRefused)
+TEST(Frames, ParseOrRejectHostListsAndLoadReports)
 {
   const auto hosts = wire::ParseHostList(
     R"({"hosts":[{"name":"w1","role":"engine","pool":"lab","address":"127.0.0.1:1","state":"leaving"}]})");
--- a/src/ferrytray/wire/half_view.cpp
+++ b/src/ferrytray/wire/half_view.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-control::DesiredOwner DesiredOwnerOf(config::Owner aOwner)
+control::DesiredOwner ToDesiredOwner(config::Owner aOwner)
 {
   switch (aOwner) {
     case config::Owner::Here:
@@ -19,9 +19,9 @@
 
 } // namespace
 
-control::HalfView HalfViewOf(const config::HalfRule& aRule, const HalfEpochs& aEpochs)
+control::HalfView MakeHalfView(const config::HalfRule& aRule, const HalfEpochs& aEpochs)
 {
-  return { DesiredOwnerOf(aRule.m_owner), aRule.m_epoch, aEpochs.m_given, aEpochs.m_received };
+  return { ToDesiredOwner(aRule.m_owner), aRule.m_epoch, aEpochs.m_given, aEpochs.m_received };
 }
 
 } // namespace ferrytray::wire
--- a/src/ferrytray/wire/log_client.cpp
+++ b/src/ferrytray/wire/log_client.cpp
@@ -17,8 +17,8 @@
   try {
     const json object = json::parse(aJson);
     LogPage page;
-    page.m_firstKept = object.at("first").get<std::uint64_t>();
-    page.m_next = object.at("next").get<std::uint64_t>();
+    page.m_firstRetained = object.at("first").get<std::uint64_t>();
+    page.m_endOffset = object.at("next").get<std::uint64_t>();
     page.m_now = std::chrono::milliseconds(object.at("now_ms").get<std::int64_t>());
     for (const json& record : object.at("records")) {
       page.m_records.push_back(
@@ -50,9 +50,9 @@
 
 } // namespace
 
-LogClient::LogClient(net::HttpClient& aHttp, std::string aPlatform, std::string aStream)
+LogClient::LogClient(net::HttpClient& aHttp, std::string aPlatform, std::string aTopic)
   : m_http(aHttp)
-  , m_base(std::move(aPlatform) + "/log/" + std::move(aStream))
+  , m_topicUrl(std::move(aPlatform) + "/log/" + std::move(aTopic))
   , m_alive(std::make_shared<bool>(true))
 {
 }
@@ -63,17 +63,20 @@
 }
 
 template<typename Parse, typename Done>
-void LogClient::Ask(net::ClientRequest aRequest, const char* aCall, Parse aParse, Done aDone)
+void LogClient::Send(net::ClientRequest aRequest,
+                     const char* aErrorPrefix,
+                     Parse aParse,
+                     Done aDone)
 {
   m_http.Fetch(
     std::move(aRequest),
-    [alive = m_alive, aCall, aParse, done = std::move(aDone)](const net::ClientOutcome& aOutcome,
-                                                              std::string aReply) {
+    [alive = m_alive, aErrorPrefix, aParse, done = std::move(aDone)](
+      const net::ClientOutcome& aOutcome, std::string aReply) {
       if (!*alive) {
         return;
       }
       if (!Succeeded(aOutcome)) {
-        done(base::Fail(base::ErrorCode::PlatformUnavailable, aCall + aOutcome.m_detail));
+        done(base::Fail(base::ErrorCode::PlatformUnavailable, aErrorPrefix + aOutcome.m_detail));
         return;
       }
       done(aParse(aReply));
@@ -84,25 +87,25 @@
 {
   net::ClientRequest request;
   request.m_method = "POST";
-  request.m_url = m_base;
+  request.m_url = m_topicUrl;
   request.m_headers = { { "Content-Type", "application/json" } };
   request.m_body = std::move(aBody);
   request.m_timeout = kAppendTimeout;
   request.m_ownConnection = true;
-  Ask(std::move(request), "log append: ", ParseOffset, std::move(aDone));
+  Send(std::move(request), "log append: ", ParseOffset, std::move(aDone));
 }
 
 void LogClient::Read(std::uint64_t aFrom,
                      base::Duration aWait,
-                     base::Duration aPatience,
+                     base::Duration aReplyTimeout,
                      ReadDone aDone)
 {
   const auto waitMillis = std::chrono::duration_cast<std::chrono::milliseconds>(aWait).count();
   net::ClientRequest request;
   request.m_url =
-    m_base + "?from=" + std::to_string(aFrom) + "&wait_ms=" + std::to_string(waitMillis);
-  request.m_timeout = aWait + aPatience;
-  Ask(std::move(request), "log read: ", ParsePage, std::move(aDone));
+    m_topicUrl + "?from=" + std::to_string(aFrom) + "&wait_ms=" + std::to_string(waitMillis);
+  request.m_timeout = aWait + aReplyTimeout;
+  Send(std::move(request), "log read: ", ParsePage, std::move(aDone));
 }
 
 } // namespace ferrytray::wire
--- a/src/ferrytray/wire/log_follower.cpp
+++ b/src/ferrytray/wire/log_follower.cpp
@@ -14,56 +14,58 @@
 // for the read after it and for handing what it brings to whoever acts on it. A shorter wait costs
 // more: with 1.2 s in place of 10 s a keeper alone moved 541 bytes a second in place of 378 (30 s
 // each), and of the 3,000 that control may spend on a host 2,700 were spent.
-constexpr int kWaitPart = 40;
-constexpr int kPatiencePart = 33;
-constexpr int kWhole = 100;
+constexpr int kWaitPercent = 40;
+constexpr int kReplyTimeoutPercent = 33;
+constexpr int kHundredPercent = 100;
 
 // An answer to a held read comes within a millisecond of the append; one of a slow log is still
 // waited for before the log is asked once more.
-constexpr base::Duration kExpectWithin = std::chrono::milliseconds(100);
+constexpr base::Duration kExpectTimeout = std::chrono::milliseconds(100);
 
 } // namespace
 
-LogFollowOptions FollowWithin(base::Duration aDue)
+LogFollowerOptions MakeFollowerOptions(base::Duration aMaxDelay)
 {
-  return { aDue * kWaitPart / kWhole, aDue * kPatiencePart / kWhole };
+  return { aMaxDelay * kWaitPercent / kHundredPercent,
+           aMaxDelay * kReplyTimeoutPercent / kHundredPercent };
 }
 
 LogFollower::LogFollower(net::Loop& aLoop,
                          net::HttpClient& aHttp,
                          const std::string& aPlatform,
-                         const std::string& aStream,
-                         LogFollowOptions aOptions)
+                         const std::string& aTopic,
+                         LogFollowerOptions aOptions)
   : m_loop(aLoop)
-  , m_client(aHttp, aPlatform, aStream)
+  , m_client(aHttp, aPlatform, aTopic)
   , m_options(aOptions)
-  , m_jitter(base::Hash64(aStream, base::RandomHex128()))
+  , m_jitterState(base::Hash64(aTopic, base::RandomHex128()))
 {
 }
 
-void LogFollower::Start(std::uint64_t aFrom, OnPage aOnPage, OnState aOnState)
+void LogFollower::Start(std::uint64_t aFrom, OnPage aOnPage, OnReachability aOnReachability)
 {
-  m_from = aFrom;
+  m_nextOffset = aFrom;
   m_onPage = std::move(aOnPage);
-  m_onState = std::move(aOnState);
-  ReadAtOnce();
+  m_onReachability = std::move(aOnReachability);
+  ReadNow();
 }
 
 void LogFollower::ReadNext(base::Duration aWait)
 {
-  m_held = aWait.count() > 0;
-  m_readAt = base::MonotonicNow();
+  m_isLongPoll = aWait.count() > 0;
+  m_readStartedAt = base::MonotonicNow();
   m_client.Read(
-    m_from, aWait, m_options.m_patience, [this, read = ++m_read](base::Result<LogPage> aPage) {
-      OnRead(read, std::move(aPage));
-    });
+    m_nextOffset,
+    aWait,
+    m_options.m_replyTimeout,
+    [this, readId = ++m_readId](base::Result<LogPage> aPage) { OnRead(readId, std::move(aPage)); });
 }
 
-void LogFollower::Expect(std::uint64_t aOffset)
+void LogFollower::ExpectRecord(std::uint64_t aOffset)
 {
-  m_expecting = m_loop.After(kExpectWithin, [this, aOffset] {
-    if (m_held && m_from <= aOffset) {
-      ReadAtOnce();
+  m_expectTimer = m_loop.After(kExpectTimeout, [this, aOffset] {
+    if (m_isLongPoll && m_nextOffset <= aOffset) {
+      ReadNow();
     }
   });
 }
@@ -71,27 +73,27 @@
 void LogFollower::SetReachable(bool aReachable)
 {
   if (std::exchange(m_reachable, aReachable) != aReachable) {
-    m_onState(aReachable);
+    m_onReachability(aReachable);
   }
 }
 
 void LogFollower::OnFailure()
 {
-  if (m_held) {
+  if (m_isLongPoll) {
     // The log may still answer what it does not hold open, and this one may have missed something.
-    ReadAtOnce();
+    ReadNow();
     return;
   }
   SetReachable(false);
   // Jittered, so that a returning log is not met by everyone at once.
-  m_jitter = m_jitter * 6364136223846793005ULL + 1442695040888963407ULL;
-  const auto extra = std::chrono::milliseconds(m_jitter >> 57U);
-  m_retry = m_loop.After(kRetryBase + extra, [this] { ReadAtOnce(); });
+  m_jitterState = m_jitterState * 6364136223846793005ULL + 1442695040888963407ULL;
+  const auto jitter = std::chrono::milliseconds(m_jitterState >> 57U);
+  m_retryTimer = m_loop.After(kRetryBase + jitter, [this] { ReadNow(); });
 }
 
-void LogFollower::OnRead(std::uint64_t aRead, base::Result<LogPage> aPage)
+void LogFollower::OnRead(std::uint64_t aReadId, base::Result<LogPage> aPage)
 {
-  if (aRead != m_read) {
+  if (aReadId != m_readId) {
     return;
   }
   if (!aPage) {
@@ -99,16 +101,16 @@
     return;
   }
   SetReachable(true);
-  m_heardAt = m_readAt;
+  m_currentAsOf = m_readStartedAt;
   m_platformTime = aPage->m_now;
-  m_platformRead = base::MonotonicNow();
-  const bool first = !m_caughtUp;
+  m_platformReadAt = base::MonotonicNow();
+  const bool isFirstPage = !m_caughtUp;
   if (!aPage->m_records.empty()) {
-    m_from = aPage->m_records.back().m_offset + 1;
+    m_nextOffset = aPage->m_records.back().m_offset + 1;
   }
   // Before the page is handed over: whoever takes it may ask whether this was the last one.
-  m_caughtUp = m_caughtUp || m_from >= aPage->m_next;
-  if (!aPage->m_records.empty() || first) {
+  m_caughtUp = m_caughtUp || m_nextOffset >= aPage->m_endOffset;
+  if (!aPage->m_records.empty() || isFirstPage) {
     m_onPage(*aPage);
   }
   ReadNext(m_caughtUp ? m_options.m_wait : base::Duration::zero());
--- a/src/ferrytray/wire/log_follower_test.cpp
+++ b/src/ferrytray/wire/log_follower_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 /// What operators ask: a change is in force everywhere within this time.
-constexpr base::Duration kBound = 3s;
+constexpr base::Duration kMaxDelay = 3s;
 
 } // namespace
 
@@ -26,76 +26,76 @@
   net::Loop m_loop;
   support::FakeHttpClient m_http;
   wire::LogFollower m_follower{
-    m_loop, m_http, "http://10.0.0.1:1", "config", wire::FollowWithin(kBound)
+    m_loop, m_http, "http://10.0.0.1:1", "config", wire::MakeFollowerOptions(kMaxDelay)
   };
-  std::string m_told;
+  std::string m_callbacks;
 
   void setup() override
   {
     m_follower.Start(
       1,
       [this](const wire::LogPage& aPage) {
-        m_told += "page" + std::to_string(aPage.m_records.size()) + " ";
+        m_callbacks += "page" + std::to_string(aPage.m_records.size()) + " ";
       },
-      [this](bool aReachable) { m_told += aReachable ? "back " : "away "; });
-    Answer(1);
+      [this](bool aReachable) { m_callbacks += aReachable ? "back " : "away "; });
+    Reply(1);
   }
   /// The newest read is answered: nothing but the offset that comes next.
-  void Answer(std::uint64_t aNext)
+  void Reply(std::uint64_t aNext)
   {
     m_http.Head(200, {});
     m_http.Data("{\"first\":1,\"next\":" + std::to_string(aNext) + ",\"now_ms\":0,\"records\":[]}");
     m_http.End(net::WireEnd::Complete);
   }
-  [[nodiscard]] bool IsHeldOpen() const
+  [[nodiscard]] bool LastReadIsLongPoll() const
   {
     return !m_http.m_calls.back().m_request.m_url.ends_with("wait_ms=0");
   }
 };
 
-TEST(LogFollower, AReadThatIsNeverAnsweredIsGivenUpWithinTheBound)
+TEST(LogFollower, TimesOutUnansweredReadWithinMaxDelay)
 {
   // For the read after it and for handing the file to the gate.
-  constexpr base::Duration kRest = 500ms;
-  CHECK(IsHeldOpen());
-  CHECK(m_http.m_calls.back().m_request.m_timeout + kRest <= kBound);
+  constexpr base::Duration kReserve = 500ms;
+  CHECK(LastReadIsLongPoll());
+  CHECK(m_http.m_calls.back().m_request.m_timeout + kReserve <= kMaxDelay);
 }
 
-TEST(LogFollower, AfterOneThatWasNotAnsweredTheLogIsAskedAtOnceAndIsNotAway)
+TEST(LogFollower, ReadsAgainAtOnceAfterFailedLongPollAndStaysReachable)
 {
   m_http.End(net::WireEnd::NoReply);
   LONGS_EQUAL(3, m_http.m_calls.size());
-  CHECK_FALSE(IsHeldOpen());
-  Answer(1);
-  CHECK(IsHeldOpen());
-  STRCMP_EQUAL("back page0 ", m_told.c_str());
+  CHECK_FALSE(LastReadIsLongPoll());
+  Reply(1);
+  CHECK(LastReadIsLongPoll());
+  STRCMP_EQUAL("back page0 ", m_callbacks.c_str());
 }
 
-TEST(LogFollower, ARecordThatIsKnownToBeThereIsAskedForAndTheHeldReadIsDropped)
+TEST(LogFollower, ReadsExpectedRecordAndDropsLongPollReply)
 {
-  m_follower.Expect(1);
-  const std::size_t before = m_http.m_calls.size();
-  for (int i = 0; i < 1000 && m_http.m_calls.size() == before; ++i) {
+  m_follower.ExpectRecord(1);
+  const std::size_t requestCount = m_http.m_calls.size();
+  for (int i = 0; i < 1000 && m_http.m_calls.size() == requestCount; ++i) {
     m_loop.RunFor(1ms);
   }
-  CHECK_FALSE(IsHeldOpen());
-  const auto held = m_http.m_calls[before - 1].m_events;
-  Answer(2);
-  const std::size_t after = m_http.m_calls.size();
-  held.m_onEnd({}); // it fails late
-  LONGS_EQUAL(after, m_http.m_calls.size());
+  CHECK_FALSE(LastReadIsLongPoll());
+  const auto heldRead = m_http.m_calls[requestCount - 1].m_events;
+  Reply(2);
+  const std::size_t requestsAfterReply = m_http.m_calls.size();
+  heldRead.m_onEnd({}); // it fails late
+  LONGS_EQUAL(requestsAfterReply, m_http.m_calls.size());
 }
 
-TEST(LogFollower, ARecordThatHasComeIsNotAskedForAgain)
+TEST(LogFollower, DoesNotReadAgainForReceivedRecord)
 {
-  m_follower.Expect(0);
+  m_follower.ExpectRecord(0);
   m_loop.RunFor(200ms);
-  CHECK(IsHeldOpen());
+  CHECK(LastReadIsLongPoll());
 }
 
-TEST(LogFollower, OnlyAReadThatIsNotHeldOpenTellsThatTheLogIsAway)
+TEST(LogFollower, ReportsUnreachableOnlyAfterImmediateReadFails)
 {
   m_http.End(net::WireEnd::NoReply);
   m_http.End(net::WireEnd::NoReply);
-  STRCMP_EQUAL("back page0 away ", m_told.c_str());
+  STRCMP_EQUAL("back page0 away ", m_callbacks.c_str());
 }
--- a/tools/cli_apply.cpp
+++ b/tools/cli_apply.cpp
@@ -60,7 +60,7 @@
       }
       from = record.m_offset + 1;
     }
-    if (page->m_records.empty() || from >= page->m_next) {
+    if (page->m_records.empty() || from >= page->m_endOffset) {
       break;
     }
   }
