--- a/include/ferrytray/settings/settings.hpp
+++ b/include/ferrytray/settings/settings.hpp
@@ -32,7 +32,7 @@
 };
 
 /// @brief The environment variable of a flag: "zone-name" of "gate" is FERRYTRAY_ZONE_NAME.
-std::string VariableOf(const std::string& aFlag);
+std::string EnvironmentVariable(const std::string& aFlag);
 
 /// @brief Checked settings. Reading one that was never declared is a programming error.
 class Settings
@@ -66,7 +66,7 @@
   std::string m_text;
 };
 
-using Parsed = std::variant<Settings, Information, base::Failure>;
+using ParseOutcome = std::variant<Settings, Information, base::Failure>;
 
 /// @brief Builds a program's table of settings and reads it. A flag wins over its variable.
 ///
@@ -87,13 +87,13 @@
   SettingsBuilder& Add(Setting aSetting);
   /// @brief Allows words besides flags, such as a command and its files.
   SettingsBuilder& AllowArguments(std::string aUsage);
-  [[nodiscard]] Parsed Build(int aArgc, const char* const* aArgv) const;
+  [[nodiscard]] ParseOutcome Build(int aArgc, const char* const* aArgv) const;
 
 private:
   std::string m_program;
   std::string m_summary;
   std::string m_argumentsUsage;
-  std::vector<Setting> m_table;
+  std::vector<Setting> m_settings;
 };
 
 /// @brief Exit codes of every program.
@@ -103,12 +103,12 @@
 
 /// @brief Prints what Build gave unless it is settings.
 /// @return the settings, or null with aExitCode set
-const Settings* SettingsOrExit(const Parsed& aParsed, int& aExitCode);
+const Settings* SettingsOrExit(const ParseOutcome& aParsed, int& aExitCode);
 
 /// @brief Runs a program with its settings, unless Build gave something else to print.
 /// @param aRun takes the settings. @return its exit code, or that of what was printed
 template<typename Run>
-int RunWith(const Parsed& aParsed, const Run& aRun)
+int RunWith(const ParseOutcome& aParsed, const Run& aRun)
 {
   int exitCode = kExitOk;
   const Settings* settings = SettingsOrExit(aParsed, exitCode);
--- a/src/ferrytray/settings/settings.cpp
+++ b/src/ferrytray/settings/settings.cpp
@@ -26,7 +26,7 @@
   return code == std::errc() && stop == end;
 }
 
-bool Fits(SettingKind aKind, const std::string& aText)
+bool IsValid(SettingKind aKind, const std::string& aText)
 {
   std::uint64_t count = 0;
   double number = 0;
@@ -44,7 +44,7 @@
   return false;
 }
 
-const char* Expected(SettingKind aKind)
+const char* ExpectedFormat(SettingKind aKind)
 {
   switch (aKind) {
     case SettingKind::Flag:
@@ -61,18 +61,18 @@
   return "text";
 }
 
-leaf::result<std::string> ValueOf(const Setting& aSetting, const cxxopts::ParseResult& aParsed)
+leaf::result<std::string> ResolveValue(const Setting& aSetting, const cxxopts::ParseResult& aParsed)
 {
   std::string value = aSetting.m_default;
-  std::string from = "default";
-  const std::string variable = VariableOf(aSetting.m_flag);
+  std::string source = "default";
+  const std::string variable = EnvironmentVariable(aSetting.m_flag);
   if (const char* text = std::getenv(variable.c_str())) {
     value = text;
-    from = variable;
+    source = variable;
   }
   if (aParsed.count(aSetting.m_flag) > 0) {
     value = aParsed[aSetting.m_flag].as<std::string>();
-    from = "--" + aSetting.m_flag;
+    source = "--" + aSetting.m_flag;
   }
   if (aSetting.m_required && value.empty()) {
     return leaf::new_error(
@@ -81,22 +81,22 @@
                      {},
                      {} });
   }
-  if (!Fits(aSetting.m_kind, value)) {
+  if (!IsValid(aSetting.m_kind, value)) {
     return leaf::new_error(
       base::Failure{ base::ErrorCode::SettingInvalid,
-                     from + ": '" + value + "' is not " + Expected(aSetting.m_kind),
+                     source + ": '" + value + "' is not " + ExpectedFormat(aSetting.m_kind),
                      {},
                      {} });
   }
   return value;
 }
 
-leaf::result<Settings> ReadAll(const std::vector<Setting>& aTable,
-                               const cxxopts::ParseResult& aParsed)
+leaf::result<Settings> ResolveAll(const std::vector<Setting>& aSettings,
+                                  const cxxopts::ParseResult& aParsed)
 {
   std::map<std::string, std::string> values;
-  for (const Setting& setting : aTable) {
-    BOOST_LEAF_AUTO(value, ValueOf(setting, aParsed));
+  for (const Setting& setting : aSettings) {
+    BOOST_LEAF_AUTO(value, ResolveValue(setting, aParsed));
     values.emplace(setting.m_flag, std::move(value));
   }
   std::vector<std::string> arguments;
@@ -108,7 +108,7 @@
 
 } // namespace
 
-std::string VariableOf(const std::string& aFlag)
+std::string EnvironmentVariable(const std::string& aFlag)
 {
   std::string variable = "FERRYTRAY_" + aFlag;
   std::transform(variable.begin(), variable.end(), variable.begin(), [](unsigned char aByte) {
@@ -134,7 +134,7 @@
 
 SettingsBuilder& SettingsBuilder::Add(Setting aSetting)
 {
-  m_table.push_back(std::move(aSetting));
+  m_settings.push_back(std::move(aSetting));
   return *this;
 }
 
@@ -144,13 +144,13 @@
   return *this;
 }
 
-Parsed SettingsBuilder::Build(int aArgc, const char* const* aArgv) const
+ParseOutcome SettingsBuilder::Build(int aArgc, const char* const* aArgv) const
 {
   cxxopts::Options options(m_program, m_summary);
   options.add_options()("help", "print this")("version", "print the version");
-  for (const Setting& setting : m_table) {
-    const std::string help =
-      setting.m_help + " [" + VariableOf(setting.m_flag) + ", default '" + setting.m_default + "']";
+  for (const Setting& setting : m_settings) {
+    const std::string help = setting.m_help + " [" + EnvironmentVariable(setting.m_flag) +
+                             ", default '" + setting.m_default + "']";
     const auto value = cxxopts::value<std::string>();
     options.add_options()(setting.m_flag,
                           help,
@@ -162,30 +162,30 @@
     options.parse_positional("arguments");
     options.positional_help(m_argumentsUsage);
   }
-  const auto bad = [](const std::string& aMessage) -> Parsed {
+  const auto fail = [](const std::string& aMessage) -> ParseOutcome {
     return base::Failure{ base::ErrorCode::SettingInvalid, aMessage, {}, {} };
   };
   return leaf::try_handle_all(
-    [&]() -> leaf::result<Parsed> {
+    [&]() -> leaf::result<ParseOutcome> {
       const cxxopts::ParseResult parsed = options.parse(aArgc, aArgv);
       if (parsed.count("help") > 0) {
-        return Parsed(Information{ options.help({ "" }) });
+        return ParseOutcome(Information{ options.help({ "" }) });
       }
       if (parsed.count("version") > 0) {
-        return Parsed(Information{ m_program + " " + kVersion + "\n" });
+        return ParseOutcome(Information{ m_program + " " + kVersion + "\n" });
       }
       if (m_argumentsUsage.empty() && !parsed.unmatched().empty()) {
-        return bad("unexpected argument '" + parsed.unmatched().front() + "'");
+        return fail("unexpected argument '" + parsed.unmatched().front() + "'");
       }
-      BOOST_LEAF_AUTO(settings, ReadAll(m_table, parsed));
-      return Parsed(std::move(settings));
+      BOOST_LEAF_AUTO(settings, ResolveAll(m_settings, parsed));
+      return ParseOutcome(std::move(settings));
     },
-    [&](base::Failure aFailure) -> Parsed { return aFailure; },
-    [&](leaf::catch_<std::exception> aCaught) { return bad(aCaught.matched.what()); },
-    [&] { return bad("unreadable settings"); });
+    [&](base::Failure aFailure) -> ParseOutcome { return aFailure; },
+    [&](leaf::catch_<std::exception> aCaught) { return fail(aCaught.matched.what()); },
+    [&] { return fail("unreadable settings"); });
 }
 
-const Settings* SettingsOrExit(const Parsed& aParsed, int& aExitCode)
+const Settings* SettingsOrExit(const ParseOutcome& aParsed, int& aExitCode)
 {
   if (const auto* information = std::get_if<Information>(&aParsed)) {
     std::cout << information->m_text;
--- a/src/ferrytray/settings/settings_test.cpp
+++ b/src/ferrytray/settings/settings_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-settings::Parsed Read(std::vector<const char*> aArguments)
+settings::ParseOutcome Parse(std::vector<const char*> aArguments)
 {
   aArguments.insert(aArguments.begin(), "program");
   return settings::SettingsBuilder("program", "For tests.")
@@ -18,7 +18,7 @@
     .Build(static_cast<int>(aArguments.size()), aArguments.data());
 }
 
-std::string MessageOf(const settings::Parsed& aParsed)
+std::string FailureMessage(const settings::ParseOutcome& aParsed)
 {
   return std::get<base::Failure>(aParsed).m_message;
 }
@@ -30,30 +30,30 @@
 }
 ;
 
-TEST(Settings, AFlagWinsOverItsVariableAndThatOverTheDefault)
+TEST(Settings, FlagOverridesVariableAndVariableOverridesDefault)
 {
-  CHECK(std::get<settings::Settings>(Read({ "--zone", "z1" })).Millis("tick") ==
+  CHECK(std::get<settings::Settings>(Parse({ "--zone", "z1" })).Millis("tick") ==
         std::chrono::milliseconds(250));
   setenv("FERRYTRAY_TICK", "100", 1);
-  CHECK(std::get<settings::Settings>(Read({ "--zone", "z1" })).Millis("tick") ==
+  CHECK(std::get<settings::Settings>(Parse({ "--zone", "z1" })).Millis("tick") ==
         std::chrono::milliseconds(100));
-  CHECK(std::get<settings::Settings>(Read({ "--zone", "z1", "--tick", "7" })).Millis("tick") ==
+  CHECK(std::get<settings::Settings>(Parse({ "--zone", "z1", "--tick", "7" })).Millis("tick") ==
         std::chrono::milliseconds(7));
 }
 
-TEST(Settings, SaysWhatIsWrong)
+TEST(Settings, ReportsInvalidSettings)
 {
-  STRCMP_EQUAL("--zone (or FERRYTRAY_ZONE) is required", MessageOf(Read({})).c_str());
+  STRCMP_EQUAL("--zone (or FERRYTRAY_ZONE) is required", FailureMessage(Parse({})).c_str());
   STRCMP_EQUAL("--tick: 'soon' is not a whole number of milliseconds",
-               MessageOf(Read({ "--zone", "z", "--tick", "soon" })).c_str());
-  CHECK(std::holds_alternative<base::Failure>(Read({ "--zone", "z", "--no-such", "1" })));
-  CHECK(std::holds_alternative<base::Failure>(Read({ "--zone", "z", "stray" })));
+               FailureMessage(Parse({ "--zone", "z", "--tick", "soon" })).c_str());
+  CHECK(std::holds_alternative<base::Failure>(Parse({ "--zone", "z", "--no-such", "1" })));
+  CHECK(std::holds_alternative<base::Failure>(Parse({ "--zone", "z", "stray" })));
 }
 
-TEST(Settings, TellsAboutItself)
+TEST(Settings, PrintsHelpAndVersionAndAcceptsBareFlag)
 {
-  const auto help = std::get<settings::Information>(Read({ "--help" }));
+  const auto help = std::get<settings::Information>(Parse({ "--help" }));
   CHECK(help.m_text.find("FERRYTRAY_TICK") != std::string::npos);
-  CHECK(std::get<settings::Information>(Read({ "--version" })).m_text.rfind("program ", 0) == 0);
-  CHECK(std::get<settings::Settings>(Read({ "--zone", "z", "--quiet" })).Flag("quiet"));
+  CHECK(std::get<settings::Information>(Parse({ "--version" })).m_text.rfind("program ", 0) == 0);
+  CHECK(std::get<settings::Settings>(Parse({ "--zone", "z", "--quiet" })).Flag("quiet"));
 }
--- a/tools/gate_main.cpp
+++ b/tools/gate_main.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-settings::Parsed ReadSettings(int aArgc, char** aArgv)
+settings::ParseOutcome ReadSettings(int aArgc, char** aArgv)
 {
   return settings::SettingsBuilder("ferrytray-gate", "Serves callers on one entry host.")
     .Add({ "host", "", "this host's name", SettingKind::Text, true })
--- a/tools/keeper_main.cpp
+++ b/tools/keeper_main.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-settings::Parsed ReadSettings(int aArgc, char** aArgv)
+settings::ParseOutcome ReadSettings(int aArgc, char** aArgv)
 {
   return settings::SettingsBuilder("ferrytray-keeper", "Controls one entry host.")
     .Add({ "host", "", "this host's name", SettingKind::Text, true })
