--- a/include/ferrytray/store/unreadable_records.hpp
+++ b/include/ferrytray/store/unreadable_records.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "ferrytray/base/error.hpp"         // for Failure
-#include "ferrytray/store/record_log.hpp"   // for Record
-#include "ferrytray/telemetry/log_gate.hpp" // for LogGate
-#include "ferrytray/telemetry/metrics.hpp"  // for Metrics
+#include "ferrytray/base/error.hpp"                 // for Failure
+#include "ferrytray/store/record_log.hpp"           // for Record
+#include "ferrytray/telemetry/log_rate_limiter.hpp" // for LogRateLimiter
+#include "ferrytray/telemetry/metrics.hpp"          // for Metrics
 
 namespace ferrytray::store {
 
@@ -22,7 +22,7 @@
 
 private:
   telemetry::Metrics* m_metrics;
-  telemetry::LogGate m_gate;
+  telemetry::LogRateLimiter m_gate;
 };
 
 } // namespace ferrytray::store
--- a/include/ferrytray/telemetry/line_sink.hpp
+++ b/include/ferrytray/telemetry/line_sink.hpp
@@ -37,7 +37,7 @@
   std::size_t m_capacity;
   std::string m_buffer;
   std::uint64_t m_dropped = 0;
-  std::uint64_t m_droppedTold = 0;
+  std::uint64_t m_droppedReported = 0;
 };
 
 } // namespace ferrytray::telemetry
--- a/include/ferrytray/telemetry/log_gate.hpp
+++ b/include/ferrytray/telemetry/log_rate_limiter.hpp
@@ -11,35 +11,35 @@
 
 namespace ferrytray::telemetry {
 
-struct LogGateOptions
+struct LogRateLimiterOptions
 {
-  base::Duration m_every = std::chrono::seconds(10); ///< between two lines of one cause
-  std::size_t m_mostCauses = 64;                     ///< within that time
+  base::Duration m_interval = std::chrono::seconds(10); ///< between two lines of one cause
+  std::size_t m_maxCauses = 64;                         ///< within that time
 };
 
 /// @brief Lets one log line of each cause through in a while, and tells how many it kept. Pure.
 ///
 /// What others write into a shared log may be wrong thousands of times a second.
-class LogGate
+class LogRateLimiter
 {
 public:
-  explicit LogGate(LogGateOptions aOptions = {})
+  explicit LogRateLimiter(LogRateLimiterOptions aOptions = {})
     : m_options(aOptions)
   {
   }
 
   /// @brief Something happened for that cause.
   /// @return if it is to be logged: how many of its cause were kept since the last one that was
-  std::optional<std::uint64_t> Take(std::string_view aCause, base::TimePoint aNow);
+  std::optional<std::uint64_t> Admit(std::string_view aCause, base::TimePoint aNow);
 
 private:
   struct Cause
   {
     base::TimePoint m_loggedAt{};
-    std::uint64_t m_kept = 0;
+    std::uint64_t m_suppressed = 0;
   };
 
-  LogGateOptions m_options;
+  LogRateLimiterOptions m_options;
   std::unordered_map<std::string, Cause> m_causes;
 };
 
--- a/include/ferrytray/telemetry/log_summary.hpp
+++ b/include/ferrytray/telemetry/log_summary.hpp
@@ -6,7 +6,7 @@
 #include <string_view> // for string_view
 #include <vector>      // for vector
 
-#include "ferrytray/telemetry/request_story.hpp" // for ParsedLine
+#include "ferrytray/telemetry/request_trace.hpp" // for ParsedLine
 
 namespace ferrytray::telemetry {
 
@@ -23,14 +23,14 @@
   struct Route
   {
     std::map<std::string, std::uint64_t> m_outcomes;
-    std::vector<std::int64_t> m_beganMillis;       ///< first event of prompts; end of others
-    std::uint64_t m_late = 0;                      ///< began after the route's target
+    std::vector<std::int64_t> m_startLatenciesMillis; ///< first event of prompts; end of others
+    std::uint64_t m_late = 0;                         ///< began after the route's target
     std::map<std::string, std::uint64_t> m_tokens; ///< prompt tokens by what became of their part
   };
 
   void AddRequest(const ParsedLine& aLine);
-  void RenderRoutes(std::string& aInto) const;
-  void RenderTokens(std::string& aInto) const;
+  void RenderRoutes(std::string& aOutput) const;
+  void RenderTokens(std::string& aOutput) const;
 
   std::map<std::string, Route> m_routes;
   std::map<std::string, std::uint64_t> m_failedSends; ///< by how they ended
--- a/include/ferrytray/telemetry/metrics.hpp
+++ b/include/ferrytray/telemetry/metrics.hpp
@@ -32,7 +32,7 @@
 {
 public:
   /// @param aName with labels, such as `requests_total{result="ok"}`
-  void Count(const std::string& aName, double aBy = 1) { m_counters[aName] += aBy; }
+  void Count(const std::string& aName, double aIncrement = 1) { m_counters[aName] += aIncrement; }
   void Set(const std::string& aName, double aValue) { m_gauges[aName] = aValue; }
   void Observe(const std::string& aName, double aValue) { m_distributions[aName].Add(aValue); }
   [[nodiscard]] double Counter(const std::string& aName) const;
--- a/include/ferrytray/telemetry/request_story.hpp
+++ b/include/ferrytray/telemetry/request_trace.hpp
@@ -26,23 +26,23 @@
   std::map<std::string, std::string, std::less<>> m_values;
 };
 
-struct StoryOptions
+struct RequestTraceOptions
 {
   /// Lines kept, of each log, on what the process believed (endpoints, configuration,
   /// dependencies).
-  std::size_t m_context = 5000;
+  std::size_t m_maxContextLines = 5000;
   /// Such lines that are shown from before the request's first.
-  std::size_t m_before = 3;
+  std::size_t m_contextLinesBefore = 3;
 };
 
 /// @brief One request's lines out of the logs of several hosts, with what else decided it there.
 ///
 /// A host's lines stay in their order. Between the request's own lines stand those that changed
 /// what that host believed of the endpoints it was sent to, and of the record log.
-class RequestStory
+class RequestTrace
 {
 public:
-  explicit RequestStory(std::string aRequest, StoryOptions aOptions = {});
+  explicit RequestTrace(std::string aRequest, RequestTraceOptions aOptions = {});
   /// @param aLog where the line is from: a host's name or a file's
   void Add(const std::string& aLog, std::string_view aLine);
   /// @brief The story as text, one log after the other; empty if no line names the request.
@@ -52,20 +52,20 @@
   struct Entry
   {
     ParsedLine m_line;
-    bool m_own = false; ///< names the request
+    bool m_namesRequest = false; ///< names the request
   };
   struct Log
   {
     std::deque<Entry> m_entries;
     std::set<std::string, std::less<>> m_endpoints; ///< that the request was sent to
-    std::size_t m_own = 0;
+    std::size_t m_requestLines = 0;
   };
 
   [[nodiscard]] static bool IsContext(const ParsedLine& aLine, const Log& aLog);
-  void RenderLog(const std::string& aName, const Log& aLog, std::string& aInto) const;
+  void RenderLog(const std::string& aName, const Log& aLog, std::string& aOutput) const;
 
   std::string m_request;
-  StoryOptions m_options;
+  RequestTraceOptions m_options;
   std::map<std::string, Log> m_logs;
 };
 
--- a/src/ferrytray/store/unreadable_records.cpp
+++ b/src/ferrytray/store/unreadable_records.cpp
@@ -12,7 +12,7 @@
   if (m_metrics != nullptr) {
     m_metrics->Count("records_unreadable_total{code=\"" + std::to_string(code) + "\"}");
   }
-  const auto kept = m_gate.Take(aWhy.m_message, base::MonotonicNow());
+  const auto kept = m_gate.Admit(aWhy.m_message, base::MonotonicNow());
   if (kept) {
     telemetry::LogLine("record_unreadable")
       .Add("key", aRecord.m_key)
--- a/src/ferrytray/telemetry/line_sink.cpp
+++ b/src/ferrytray/telemetry/line_sink.cpp
@@ -32,10 +32,10 @@
     return;
   }
   m_buffer.erase(0, static_cast<std::size_t>(written));
-  if (m_dropped > m_droppedTold) {
-    const std::uint64_t missing = m_dropped - m_droppedTold;
-    m_droppedTold = m_dropped;
-    Write("event=log_dropped lines=" + std::to_string(missing));
+  if (m_dropped > m_droppedReported) {
+    const std::uint64_t unreported = m_dropped - m_droppedReported;
+    m_droppedReported = m_dropped;
+    Write("event=log_dropped lines=" + std::to_string(unreported));
   }
 }
 
--- a/src/ferrytray/telemetry/line_sink_test.cpp
+++ b/src/ferrytray/telemetry/line_sink_test.cpp
@@ -22,12 +22,12 @@
   std::string ReadAll() const
   {
     std::array<char, 1U << 16U> buffer{};
-    const ssize_t got = read(m_pipe[0], buffer.data(), buffer.size());
-    return { buffer.data(), static_cast<std::size_t>(got > 0 ? got : 0) };
+    const ssize_t bytesRead = read(m_pipe[0], buffer.data(), buffer.size());
+    return { buffer.data(), static_cast<std::size_t>(bytesRead > 0 ? bytesRead : 0) };
   }
 };
 
-TEST(LineSink, ASlowReaderHoldsNobodyUpAndLosesCountedLines)
+TEST(LineSink, DropsAndCountsLinesWithoutBlockingOnSlowReader)
 {
   telemetry::BoundedSink sink(m_pipe[1], 1000);
   const std::string line(99, 'x');
@@ -42,7 +42,7 @@
   CHECK(ReadAll().find("event=log_dropped lines=") != std::string::npos);
 }
 
-TEST(LineSink, LinesComeWholeAndInOrder)
+TEST(LineSink, WritesCompleteLinesInOrder)
 {
   telemetry::BoundedSink sink(m_pipe[1], 1000);
   sink.Write("a");
--- a/src/ferrytray/telemetry/log_summary.cpp
+++ b/src/ferrytray/telemetry/log_summary.cpp
@@ -15,7 +15,7 @@
 constexpr std::array<std::string_view, 6> kFates{ "unshared",   "fetched", "saved",
                                                   "on_its_way", "no_room", "no_contact" };
 
-std::int64_t NumberOf(const ParsedLine& aLine, std::string_view aKey)
+std::int64_t ParseNumber(const ParsedLine& aLine, std::string_view aKey)
 {
   const std::string_view text = aLine.Value(aKey);
   std::int64_t number = 0;
@@ -31,7 +31,7 @@
   return aSorted[std::min(aSorted.size() - 1, aSorted.size() * aPercent / 100)];
 }
 
-std::string Counts(const std::map<std::string, std::uint64_t>& aCounts)
+std::string FormatCounts(const std::map<std::string, std::uint64_t>& aCounts)
 {
   std::string text;
   for (const auto& [name, count] : aCounts) {
@@ -69,62 +69,62 @@
   const bool isPrompt = !aLine.Value("prompt_tokens").empty();
   for (const std::string_view fate : kFates) {
     if (isPrompt) {
-      route.m_tokens[std::string(fate)] += static_cast<std::uint64_t>(NumberOf(aLine, fate));
+      route.m_tokens[std::string(fate)] += static_cast<std::uint64_t>(ParseNumber(aLine, fate));
     }
   }
-  const std::int64_t began = NumberOf(aLine, isPrompt ? "began_ms" : "took_ms");
-  if (outcome == "delivered" && began >= 0) {
-    route.m_beganMillis.push_back(began);
-    route.m_late += began > NumberOf(aLine, "target_ms") ? 1 : 0;
+  const std::int64_t startLatency = ParseNumber(aLine, isPrompt ? "began_ms" : "took_ms");
+  if (outcome == "delivered" && startLatency >= 0) {
+    route.m_startLatenciesMillis.push_back(startLatency);
+    route.m_late += startLatency > ParseNumber(aLine, "target_ms") ? 1 : 0;
   }
 }
 
-void LogSummary::RenderRoutes(std::string& aInto) const
+void LogSummary::RenderRoutes(std::string& aOutput) const
 {
-  aInto += fmt::format("{:<16}{:>8}{:>8}{:>8}{:>8}{:>8}  outcomes\n",
-                       "route",
-                       "ended",
-                       "late",
-                       "p50 ms",
-                       "p95 ms",
-                       "p99 ms");
+  aOutput += fmt::format("{:<16}{:>8}{:>8}{:>8}{:>8}{:>8}  outcomes\n",
+                         "route",
+                         "ended",
+                         "late",
+                         "p50 ms",
+                         "p95 ms",
+                         "p99 ms");
   for (const auto& [name, route] : m_routes) {
-    std::vector<std::int64_t> began = route.m_beganMillis;
-    std::sort(began.begin(), began.end());
+    std::vector<std::int64_t> startLatencies = route.m_startLatenciesMillis;
+    std::sort(startLatencies.begin(), startLatencies.end());
     std::uint64_t ended = 0;
     for (const auto& [outcome, count] : route.m_outcomes) {
       ended += count;
     }
-    constexpr std::size_t kMedian = 50;
-    constexpr std::size_t kMost = 95;
-    constexpr std::size_t kNearlyAll = 99;
-    aInto += fmt::format("{:<16}{:>8}{:>8}{:>8}{:>8}{:>8}  {}\n",
-                         name,
-                         ended,
-                         route.m_late,
-                         Percentile(began, kMedian),
-                         Percentile(began, kMost),
-                         Percentile(began, kNearlyAll),
-                         Counts(route.m_outcomes));
+    constexpr std::size_t kP50 = 50;
+    constexpr std::size_t kP95 = 95;
+    constexpr std::size_t kP99 = 99;
+    aOutput += fmt::format("{:<16}{:>8}{:>8}{:>8}{:>8}{:>8}  {}\n",
+                           name,
+                           ended,
+                           route.m_late,
+                           Percentile(startLatencies, kP50),
+                           Percentile(startLatencies, kP95),
+                           Percentile(startLatencies, kP99),
+                           FormatCounts(route.m_outcomes));
   }
 }
 
-void LogSummary::RenderTokens(std::string& aInto) const
+void LogSummary::RenderTokens(std::string& aOutput) const
 {
-  aInto += fmt::format("\n{:<16}", "prompt tokens");
+  aOutput += fmt::format("\n{:<16}", "prompt tokens");
   for (const std::string_view fate : kFates) {
-    aInto += fmt::format("{:>12}", fate);
+    aOutput += fmt::format("{:>12}", fate);
   }
-  aInto += "\n";
+  aOutput += "\n";
   for (const auto& [name, route] : m_routes) {
     if (route.m_tokens.empty()) {
       continue;
     }
-    aInto += fmt::format("{:<16}", name);
+    aOutput += fmt::format("{:<16}", name);
     for (const std::string_view fate : kFates) {
-      aInto += fmt::format("{:>12}", route.m_tokens.at(std::string(fate)));
+      aOutput += fmt::format("{:>12}", route.m_tokens.at(std::string(fate)));
     }
-    aInto += "\n";
+    aOutput += "\n";
   }
 }
 
@@ -136,9 +136,9 @@
   std::string text;
   RenderRoutes(text);
   RenderTokens(text);
-  text += "\nfailed sends (end, status): " + Counts(m_failedSends) + "\n";
-  text += "own answers (code): " + Counts(m_ownAnswers) + "\n";
-  text += "calls to the record log (call, topic): " + Counts(m_logCalls) + "\n";
+  text += "\nfailed sends (end, status): " + FormatCounts(m_failedSends) + "\n";
+  text += "own answers (code): " + FormatCounts(m_ownAnswers) + "\n";
+  text += "calls to the record log (call, topic): " + FormatCounts(m_logCalls) + "\n";
   return text;
 }
 
--- a/src/ferrytray/telemetry/metrics.cpp
+++ b/src/ferrytray/telemetry/metrics.cpp
@@ -19,7 +19,7 @@
 constexpr std::array<double, 3> kQuantiles{ 0.5, 0.95, 0.99 };
 const std::string kPrefix = "ferrytray_";
 
-std::string Number(double aValue)
+std::string FormatNumber(double aValue)
 {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.9g", aValue);
@@ -88,19 +88,20 @@
 {
   std::string text;
   for (const auto& [name, value] : m_counters) {
-    text += kPrefix + name + " " + Number(value) + "\n";
+    text += kPrefix + name + " " + FormatNumber(value) + "\n";
   }
   for (const auto& [name, value] : m_gauges) {
-    text += kPrefix + name + " " + Number(value) + "\n";
+    text += kPrefix + name + " " + FormatNumber(value) + "\n";
   }
-  for (const auto& [name, figures] : m_distributions) {
-    const auto [plain, labels] = SplitLabels(name);
+  for (const auto& [name, distribution] : m_distributions) {
+    const auto [baseName, labels] = SplitLabels(name);
     for (const double quantile : kQuantiles) {
-      text += kPrefix + plain + "{" + labels + "quantile=\"" + Number(quantile) + "\"} " +
-              Number(figures.Quantile(quantile)) + "\n";
+      text += kPrefix + baseName + "{" + labels + "quantile=\"" + FormatNumber(quantile) + "\"} " +
+              FormatNumber(distribution.Quantile(quantile)) + "\n";
     }
-    text += kPrefix + plain + "_sum " + Number(figures.Sum()) + "\n";
-    text += kPrefix + plain + "_count " + Number(static_cast<double>(figures.Count())) + "\n";
+    text += kPrefix + baseName + "_sum " + FormatNumber(distribution.Sum()) + "\n";
+    text += kPrefix + baseName + "_count " +
+            FormatNumber(static_cast<double>(distribution.Count())) + "\n";
   }
   return text;
 }
--- a/src/ferrytray/telemetry/request_story_test.cpp
+++ b/src/ferrytray/telemetry/request_trace_test.cpp
@@ -1,4 +1,4 @@
-#include "ferrytray/telemetry/request_story.hpp"
+#include "ferrytray/telemetry/request_trace.hpp"
 
 #include "ferrytray/telemetry/log_line.hpp" // for LogLine
 
@@ -7,12 +7,12 @@
 using namespace ferrytray;
 using telemetry::ParsedLine;
 
-TEST_GROUP(RequestStory)
+TEST_GROUP(RequestTrace)
 {
-  telemetry::RequestStory m_story{ "r1" };
+  telemetry::RequestTrace m_trace{ "r1" };
 };
 
-TEST(RequestStory, ReadsWhatLogLineWrites)
+TEST(RequestTrace, ParsesOutputOfLogLine)
 {
   telemetry::LogLine written("attempt_failed");
   written.Add("request", "r1").Add("detail", "No \"error\", at all").Add("sends", 2).Add("why", "");
@@ -27,7 +27,7 @@
   CHECK(ParsedLine::Parse("event=").has_value());
 }
 
-TEST(RequestStory, ShowsItsLinesAndWhatChangedBeliefsAround)
+TEST(RequestTrace, RendersRequestLinesWithPrecedingStateChanges)
 {
   for (const char* line : { "event=configuration version=1",
                             "event=configuration version=2",
@@ -39,9 +39,9 @@
                             "event=endpoint_removed endpoint=w1",
                             "event=request request=r1 endpoint=w1 outcome=own_answer",
                             "event=configuration version=3" }) {
-    m_story.Add("h1", line);
+    m_trace.Add("h1", line);
   }
-  m_story.Add("h2", "event=configuration version=2");
+  m_trace.Add("h2", "event=configuration version=2");
   STRCMP_EQUAL("h1\n"
                "    event=configuration version=2\n"
                "    event=endpoint endpoint=w1 state=usable\n"
@@ -49,24 +49,24 @@
                "  event=attempt_failed request=r1 endpoint=w1 end=not_run\n"
                "    event=endpoint_removed endpoint=w1\n"
                "  event=request request=r1 endpoint=w1 outcome=own_answer\n",
-               m_story.Render().c_str());
+               m_trace.Render().c_str());
 }
 
-TEST(RequestStory, IsEmptyWhenNobodySawTheRequest)
+TEST(RequestTrace, IsEmptyIfNoLineNamesTheRequest)
 {
-  m_story.Add("h1", "event=request request=r11");
-  m_story.Add("h1", "rubbish request=r1");
-  STRCMP_EQUAL("", m_story.Render().c_str());
+  m_trace.Add("h1", "event=request request=r11");
+  m_trace.Add("h1", "rubbish request=r1");
+  STRCMP_EQUAL("", m_trace.Render().c_str());
 }
 
-TEST(RequestStory, OfALongLogItKeepsOnlyTheNewestBeliefs)
+TEST(RequestTrace, KeepsOnlyNewestContextLinesOfLongLog)
 {
-  telemetry::RequestStory story("r1", { .m_context = 10, .m_before = 100 });
+  telemetry::RequestTrace trace("r1", { .m_maxContextLines = 10, .m_contextLinesBefore = 100 });
   for (int i = 0; i < 1000; ++i) {
-    story.Add("h1", "event=configuration version=" + std::to_string(i));
+    trace.Add("h1", "event=configuration version=" + std::to_string(i));
   }
-  story.Add("h1", "event=request request=r1");
-  const std::string text = story.Render();
+  trace.Add("h1", "event=request request=r1");
+  const std::string text = trace.Render();
   CHECK(text.find("version=989\n") == std::string::npos);
   CHECK(text.find("version=990\n") != std::string::npos);
 }
--- a/src/ferrytray/telemetry/telemetry_test.cpp
+++ b/src/ferrytray/telemetry/telemetry_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(Telemetry){};
 
-TEST(Telemetry, ALineIsKeyEqualsValueAndCannotBeForged)
+TEST(Telemetry, FormatsKeyValuePairsAndQuotesInjectedText)
 {
   telemetry::LogLine line("route");
   line.Add("request", "r1").Add("score", 3).Add("account", "a b\"\nevent=x");
--- a/tools/cli_story.cpp
+++ b/tools/cli_story.cpp
@@ -6,7 +6,7 @@
 
 #include "cli.hpp"
 #include "ferrytray/telemetry/log_summary.hpp"   // for LogSummary
-#include "ferrytray/telemetry/request_story.hpp" // for RequestStory
+#include "ferrytray/telemetry/request_trace.hpp" // for RequestTrace
 
 namespace ferrytray::cli {
 
@@ -65,7 +65,7 @@
 
 ExitCode ExplainFromLogs(const std::string& aRequest, const std::vector<std::string>& aLogs)
 {
-  telemetry::RequestStory story(aRequest);
+  telemetry::RequestTrace story(aRequest);
   const bool read = ForEachLine(
     aLogs, [&](const std::string& aLog, const std::string& aLine) { story.Add(aLog, aLine); });
   return read ? Print(story.Render(), "no line of these logs names request " + aRequest)
