--- a/include/ferrytray/wire/frames.hpp
+++ b/include/ferrytray/wire/frames.hpp
@@ -15,7 +15,7 @@
 
 namespace ferrytray::wire {
 
-/// @brief First frame of a gate or of a peer keeper: what it has already.
+/// @brief First frame of a gate or a peer keeper, with the configuration position it already has.
 struct Hello
 {
   std::string m_host;
@@ -23,14 +23,14 @@
   std::uint64_t m_position = 0;
 };
 
-/// @brief Configuration that came into force above the receiver's position.
+/// @brief Configuration scopes accepted after the receiver's position.
 struct StateUpdate
 {
   std::uint64_t m_position = 0;
   std::vector<replay::ScopeState> m_scopes;
 };
 
-/// @brief An endpoint with what the keeper knows of it.
+/// @brief An endpoint with its latest load report known to the keeper.
 struct EndpointStatus
 {
   ListedHost m_host;
@@ -38,7 +38,7 @@
   std::uint32_t m_reportAgeMillis = 0;
 };
 
-/// @brief Every endpoint that may serve, with leaving ones marked.
+/// @brief All listed endpoints; leaving ones are flagged.
 struct EndpointUpdate
 {
   std::vector<EndpointStatus> m_endpoints;
@@ -50,14 +50,14 @@
   std::vector<membership::Member> m_members;
 };
 
-/// @brief The fraction of each account's limits that this host's gate may give out.
+/// @brief Fraction of each account's limits that this host's gate may grant.
 struct ShareUpdate
 {
   std::vector<std::pair<std::string, double>> m_shares;
-  double m_default = 1; ///< for accounts not named
+  double m_default = 1; ///< for accounts not listed
 };
 
-/// @brief What this half's log says of one hand-over rule.
+/// @brief Ended epochs of one hand-over rule, according to this half's log.
 struct HalfEpochs
 {
   std::string m_rule;
@@ -65,49 +65,49 @@
   std::uint64_t m_received = 0; ///< the highest epoch that the other half ended
 };
 
-/// @brief Every hand-over in this half's log.
+/// @brief Ended epochs of every hand-over rule in this half's log.
 struct HalfUpdate
 {
   std::vector<HalfEpochs> m_rules;
 };
 
-/// @brief A gate asks its keeper how old the configuration may be. A frame of its own, so that a
-/// keeper of an older version passes over it and still reads the gate's reports.
+/// @brief Request of a gate for the maximum age of its keeper's configuration. It is a separate
+/// frame so that an older keeper ignores it and still reads the gate's reports.
 struct ConfigurationAgeRequest
 {
-  std::uint64_t m_requestId = 0; ///< counts up at each gate
+  std::uint64_t m_requestId = 0; ///< incremented by each gate for every request
 };
 
-/// @brief The answer. The gate counts from when it asked, so that frames that lay in a buffer while
-/// it stood still seem no fresher.
+/// @brief Reply to ConfigurationAgeRequest. The gate measures from the time of its request, so that
+/// a reply that waited in a buffer while the gate was stalled doesn't appear fresher than it is.
 struct ConfigurationAge
 {
-  std::uint64_t m_requestId = 0; ///< its number
-  /// Since the keeper's last answered read of the log was begun.
+  std::uint64_t m_requestId = 0; ///< that of the request
+  /// Time since the keeper started its last successful read of the log, rounded up.
   std::uint64_t m_ageMillis = 0;
 };
 
-/// @brief A gate's own news, every round.
+/// @brief State that a gate reports to its keeper in every round.
 struct GateReport
 {
-  std::string m_address;        ///< where it serves callers
-  std::string m_control;        ///< where it takes ticket tables (TCP frames)
-  std::uint64_t m_position = 0; ///< configuration in force there
+  std::string m_address;        ///< where it serves clients
+  std::string m_control;        ///< where it receives ticket tables (TCP frames)
+  std::uint64_t m_position = 0; ///< configuration position in force
   std::uint64_t m_openWork = 0;
-  std::vector<std::string> m_tickets;                   ///< incarnations whose tickets live there
-  std::vector<std::pair<std::string, double>> m_demand; ///< requests a second by account
+  std::vector<std::string> m_tickets;                   ///< incarnations whose tickets it holds
+  std::vector<std::pair<std::string, double>> m_demand; ///< requests per second by account
   std::vector<std::pair<std::string, std::string>> m_leaving; ///< endpoint, incarnation
-  std::vector<std::string> m_drained;                         ///< "rule@epoch" with nothing open
+  std::vector<std::string> m_drained;                         ///< "rule@epoch" without open work
 };
 
-/// @brief A stopping gate's tickets, for one named peer.
+/// @brief Tickets that a stopping gate hands over to one peer.
 struct TicketHandover
 {
   std::vector<std::string> m_incarnations;
   std::vector<once::TicketRow> m_rows;
 };
 
-/// @brief The peer has them.
+/// @brief Acknowledges a TicketHandover.
 struct TicketAck
 {
   std::string m_incarnation;
@@ -125,9 +125,9 @@
                            ConfigurationAgeRequest,
                            ConfigurationAge>;
 
-/// @brief A frame's bytes (cereal's binary archive).
+/// @brief Encodes a frame with cereal's binary archive.
 std::string EncodeFrame(const Frame& aFrame);
-/// @brief Reads what EncodeFrame wrote. @return PlatformMalformed for anything else
+/// @brief Decodes the output of EncodeFrame. @return PlatformMalformed for any other input
 base::Result<Frame> DecodeFrame(std::string_view aBytes);
 
 std::string EncodeGossip(const membership::GossipMessage& aMessage);
--- a/include/ferrytray/wire/half_view.hpp
+++ b/include/ferrytray/wire/half_view.hpp
@@ -6,7 +6,8 @@
 
 namespace ferrytray::wire {
 
-/// @brief A hand-over rule as its decisions see it: what the file wishes, what the log says.
+/// @brief Combines the desired owner of a hand-over rule, from the configuration, with its ended
+/// epochs, from the log.
 [[nodiscard]] control::HalfView MakeHalfView(const config::HalfRule& aRule,
                                              const HalfEpochs& aEpochs);
 
--- a/include/ferrytray/wire/log_client.hpp
+++ b/include/ferrytray/wire/log_client.hpp
@@ -12,24 +12,24 @@
 
 namespace ferrytray::wire {
 
-/// @brief One record of a stream of the platform's log.
+/// @brief One record of a topic of the platform's log.
 struct LogRecord
 {
   std::uint64_t m_offset = 0;
-  base::Duration m_time{}; ///< the platform's clock
+  base::Duration m_time{}; ///< when it was appended, by the platform's clock
   std::string m_body;
 };
 
-/// @brief The answer to one read.
+/// @brief Reply to one read.
 struct LogPage
 {
-  std::uint64_t m_firstRetained = 1; ///< lower offsets have left the log
-  std::uint64_t m_endOffset = 1;     ///< the offset that the next append gets
-  base::Duration m_now{};            ///< the platform's clock
+  std::uint64_t m_firstRetained = 1; ///< lower offsets have been truncated
+  std::uint64_t m_endOffset = 1;     ///< offset of the next append
+  base::Duration m_now{};            ///< current time of the platform's clock
   std::vector<LogRecord> m_records;
 };
 
-/// @brief Appends to and reads from one stream of the platform's log, over HTTP.
+/// @brief Appends to and reads from one topic of the platform's log over HTTP.
 class LogClient
 {
 public:
@@ -41,18 +41,19 @@
   ~LogClient();
 
   /// @brief Appends one record.
-  /// @param aDone gets the offset; PlatformUnavailable means that it may have been written
+  /// @param aDone receives the offset; after PlatformUnavailable, the record may still have been
+  /// written
   void Append(std::string aBody, AppendDone aDone);
-  /// @brief Reads from an offset on; waits for news when there is none.
-  /// @param aWait how long the platform may hold the answer back
-  /// @param aReplyTimeout for the answer, beyond that
+  /// @brief Reads records starting at an offset; a long poll if there are none yet.
+  /// @param aWait how long the platform may hold the read open
+  /// @param aReplyTimeout how long to wait for the reply after that
   void Read(std::uint64_t aFrom,
             base::Duration aWait,
             base::Duration aReplyTimeout,
             ReadDone aDone);
 
 private:
-  /// Sends it, and tells what the answer's body says or why there is none.
+  /// Sends a request and passes the parsed reply body, or the failure, to aDone.
   template<typename Parse, typename Done>
   void Send(net::ClientRequest aRequest, const char* aErrorPrefix, Parse aParse, Done aDone);
 
--- a/include/ferrytray/wire/log_follower.hpp
+++ b/include/ferrytray/wire/log_follower.hpp
@@ -11,25 +11,26 @@
 
 namespace ferrytray::wire {
 
-/// @brief How long reads of a stream are held open and waited for. The log may answer what it is
-/// asked and yet leave a read that it holds open without an answer.
+/// @brief Timeouts of the reads of a topic. The log may reply to immediate reads and yet never
+/// reply to a long poll.
 struct LogFollowerOptions
 {
-  /// A read that brings nothing is 234 bytes, and control may spend 3,000 a second on a host, so a
-  /// stream that nothing waits for is read seldom.
+  /// Wait of a long poll. An empty read costs 234 bytes, and control traffic may use 3,000 bytes
+  /// per second and host, so topics without a delay bound are polled rarely.
   base::Duration m_wait = std::chrono::seconds(10);
-  /// For an answer beyond the wait.
+  /// Time to wait for the reply after that.
   base::Duration m_replyTimeout = std::chrono::seconds(3);
 };
 
-/// @brief The figures by which what was appended is known within the bound, whatever the log does
-/// with one held read. @param aMaxDelay by when it has to be in force on this host
+/// @brief Derives timeouts so that a record is read within aMaxDelay even if the log never replies
+/// to one long poll. @param aMaxDelay maximum time from the append until it is in force on this
+/// host
 [[nodiscard]] LogFollowerOptions MakeFollowerOptions(base::Duration aMaxDelay);
 
-/// @brief Follows a stream for ever: reads, waits, retries with jitter while the log is away.
+/// @brief Follows a topic with long polls and retries with jitter while the log is unreachable.
 ///
-/// After a held read that failed the log is asked at once for what it has; only if that fails, too,
-/// the log is away.
+/// After a failed long poll, an immediate read follows. The log counts as unreachable only if that
+/// one fails, too.
 class LogFollower
 {
 public:
@@ -41,18 +42,17 @@
               const std::string& aPlatform,
               const std::string& aTopic,
               LogFollowerOptions aOptions = {});
-  /// @brief Begins. Each page that has records, and the first one, is handed over.
+  /// @brief Starts reading. aOnPage receives the first page and every page with records.
   void Start(std::uint64_t aFrom, OnPage aOnPage, OnReachability aOnReachability);
-  /// @brief Whether the stream's end was reached once.
+  /// @brief Whether the end of the topic has been reached at least once.
   [[nodiscard]] bool CaughtUp() const { return m_caughtUp; }
   [[nodiscard]] bool Reachable() const { return m_reachable; }
-  /// @brief This process has a record's place in the stream from the log itself, so that record is
-  /// there: if the held read does not bring it soon, the log is asked for it.
+  /// @brief Announces a record whose offset the log has acknowledged to this process. If the long
+  /// poll doesn't return it soon, an immediate read is sent.
   void ExpectRecord(std::uint64_t aOffset);
-  /// @brief What had been appended by then is known: the read that was answered last was begun
-  /// then.
+  /// @brief Every record appended before this time is known: the start of the last successful read.
   [[nodiscard]] std::optional<base::TimePoint> CurrentAsOf() const { return m_currentAsOf; }
-  /// @brief The platform's clock now: as of the last answer, carried on by the monotonic clock.
+  /// @brief Estimates the platform's clock from the last reply and the monotonic time since.
   [[nodiscard]] base::Duration PlatformTime(base::TimePoint aNow) const
   {
     return m_platformTime + (aNow - m_platformReadAt);
@@ -69,8 +69,8 @@
   LogClient m_client;
   LogFollowerOptions m_options;
   std::uint64_t m_nextOffset = 1;
-  std::uint64_t m_readId = 0; ///< number of the newest read; answers to others are dropped
-  bool m_isLongPoll = false;  ///< the log may hold that one open
+  std::uint64_t m_readId = 0; ///< of the newest read; replies to earlier ones are dropped
+  bool m_isLongPoll = false;  ///< whether the newest read is a long poll
   base::TimePoint m_readStartedAt{};
   std::optional<base::TimePoint> m_currentAsOf;
   net::TimerHandle m_expectTimer;
--- a/src/ferrytray/wire/frames.cpp
+++ b/src/ferrytray/wire/frames.cpp
@@ -26,7 +26,8 @@
 
 namespace {
 
-/// Texts with a length of two bytes instead of eight: datagrams are many and names are short.
+/// Encodes a string with a length prefix of two bytes instead of cereal's eight, since datagrams
+/// are frequent and names are short.
 struct ShortString
 {
   std::string& m_string;
--- a/src/ferrytray/wire/log_follower.cpp
+++ b/src/ferrytray/wire/log_follower.cpp
@@ -10,16 +10,16 @@
 
 constexpr base::Duration kRetryBase = std::chrono::milliseconds(100);
 
-// Parts of the bound (percent). A read that is never answered costs both, 2.2 s of 3 s; the rest is
-// for the read after it and for handing what it brings to whoever acts on it. A shorter wait costs
-// more: with 1.2 s in place of 10 s a keeper alone moved 541 bytes a second in place of 378 (30 s
-// each), and of the 3,000 that control may spend on a host 2,700 were spent.
+// Shares of the maximum delay, in percent. A read without a reply takes both, 2.2 s of 3 s; the
+// rest is for the next read and for passing on its records. A shorter wait costs more traffic:
+// with 1.2 s instead of 10 s, a keeper alone transferred 541 instead of 378 bytes per second (30 s
+// each), and the host used 2,700 of the 3,000 bytes per second allowed for control traffic.
 constexpr int kWaitPercent = 40;
 constexpr int kReplyTimeoutPercent = 33;
 constexpr int kHundredPercent = 100;
 
-// An answer to a held read comes within a millisecond of the append; one of a slow log is still
-// waited for before the log is asked once more.
+// A long poll normally returns within a millisecond of the append. The longer timeout lets a slow
+// log reply before another read is sent.
 constexpr base::Duration kExpectTimeout = std::chrono::milliseconds(100);
 
 } // namespace
@@ -80,12 +80,13 @@
 void LogFollower::OnFailure()
 {
   if (m_isLongPoll) {
-    // The log may still answer what it does not hold open, and this one may have missed something.
+    // The log may still reply to immediate reads, and records may have arrived during the long
+    // poll.
     ReadNow();
     return;
   }
   SetReachable(false);
-  // Jittered, so that a returning log is not met by everyone at once.
+  // Jitter spreads the retries so that not all hosts reconnect to a recovering log at once.
   m_jitterState = m_jitterState * 6364136223846793005ULL + 1442695040888963407ULL;
   const auto jitter = std::chrono::milliseconds(m_jitterState >> 57U);
   m_retryTimer = m_loop.After(kRetryBase + jitter, [this] { ReadNow(); });
@@ -108,7 +109,7 @@
   if (!aPage->m_records.empty()) {
     m_nextOffset = aPage->m_records.back().m_offset + 1;
   }
-  // Before the page is handed over: whoever takes it may ask whether this was the last one.
+  // Set before the callback, which may check whether this page was the last one.
   m_caughtUp = m_caughtUp || m_nextOffset >= aPage->m_endOffset;
   if (!aPage->m_records.empty() || isFirstPage) {
     m_onPage(*aPage);
--- a/src/ferrytray/wire/log_follower_test.cpp
+++ b/src/ferrytray/wire/log_follower_test.cpp
@@ -1,8 +1,7 @@
-// Seen in tests and by reading: the log may hold a read open and never answer it, though it answers
-// others (see the relay's feeds). The keeper's read of the configuration was open for 10 s and
-// waited for 3 s more, and the bound for a change is 3 s. Gates read the claims in the same way: a
-// request with a key of the caller's was refused for as long, since the gate waited to read its own
-// claim back.
+// Guards against a log that never replies to a long poll although it replies to other reads (see
+// the relay's feeds). The keeper's long poll of the configuration took 10 s plus a timeout of 3 s,
+// while a change must be in force within 3 s. Gates read the claims in the same way: requests with
+// an idempotency key were refused for that long, since the gate waited to read back its own claim.
 #include "ferrytray/wire/log_follower.hpp"
 
 #include <optional> // for optional
@@ -16,7 +15,7 @@
 
 namespace {
 
-/// What operators ask: a change is in force everywhere within this time.
+/// A change must be in force on every host within this time.
 constexpr base::Duration kMaxDelay = 3s;
 
 } // namespace
@@ -40,7 +39,7 @@
       [this](bool aReachable) { m_callbacks += aReachable ? "back " : "away "; });
     Reply(1);
   }
-  /// The newest read is answered: nothing but the offset that comes next.
+  /// Replies to the newest read with an empty page that ends at aNext.
   void Reply(std::uint64_t aNext)
   {
     m_http.Head(200, {});
@@ -55,7 +54,7 @@
 
 TEST(LogFollower, TimesOutUnansweredReadWithinMaxDelay)
 {
-  // For the read after it and for handing the file to the gate.
+  // For the next read and for passing the configuration to the gate.
   constexpr base::Duration kReserve = 500ms;
   CHECK(LastReadIsLongPoll());
   CHECK(m_http.m_calls.back().m_request.m_timeout + kReserve <= kMaxDelay);
@@ -82,7 +81,7 @@
   const auto heldRead = m_http.m_calls[requestCount - 1].m_events;
   Reply(2);
   const std::size_t requestsAfterReply = m_http.m_calls.size();
-  heldRead.m_onEnd({}); // it fails late
+  heldRead.m_onEnd({}); // late failure of the replaced long poll
   LONGS_EQUAL(requestsAfterReply, m_http.m_calls.size());
 }
 
