--- a/include/ferrytray/settings/settings.hpp
+++ b/include/ferrytray/settings/settings.hpp
@@ -11,30 +11,30 @@
 
 namespace ferrytray::settings {
 
-/// @brief What a setting's text must look like.
+/// @brief Value format of a setting.
 enum class SettingKind : std::uint8_t
 {
   Text,
-  Count,  ///< a whole number, 0 or more
-  Number, ///< a number, 0 or more
-  Millis, ///< a whole number of milliseconds
+  Count,  ///< non-negative integer
+  Number, ///< non-negative, finite number
+  Millis, ///< non-negative integer number of milliseconds
   Flag,   ///< true or false
 };
 
-/// @brief One row of a program's table of settings.
+/// @brief Declares one setting of a program.
 struct Setting
 {
-  std::string m_flag; ///< such as "listen"; given as --listen
+  std::string m_flag; ///< such as "listen", passed as --listen
   std::string m_default;
   std::string m_help;
   SettingKind m_kind = SettingKind::Text;
   bool m_required = false;
 };
 
-/// @brief The environment variable of a flag: "zone-name" of "gate" is FERRYTRAY_ZONE_NAME.
+/// @brief Returns the environment variable of a flag: FERRYTRAY_ZONE_NAME for "zone-name".
 std::string EnvironmentVariable(const std::string& aFlag);
 
-/// @brief Checked settings. Reading one that was never declared is a programming error.
+/// @brief Validated settings. Reading an undeclared one is a programming error.
 class Settings
 {
 public:
@@ -52,7 +52,7 @@
   [[nodiscard]] double Number(const std::string& aFlag) const;
   [[nodiscard]] base::Duration Millis(const std::string& aFlag) const;
   [[nodiscard]] bool Flag(const std::string& aFlag) const { return Text(aFlag) == "true"; }
-  /// @brief What stands on the command line besides flags.
+  /// @brief Returns the positional arguments of the command line.
   [[nodiscard]] const std::vector<std::string>& Arguments() const { return m_arguments; }
 
 private:
@@ -60,7 +60,7 @@
   std::vector<std::string> m_arguments;
 };
 
-/// @brief --help or --version was asked for: print this and exit with 0.
+/// @brief Output of --help or --version; the program prints it and exits with 0.
 struct Information
 {
   std::string m_text;
@@ -68,7 +68,8 @@
 
 using ParseOutcome = std::variant<Settings, Information, base::Failure>;
 
-/// @brief Builds a program's table of settings and reads it. A flag wins over its variable.
+/// @brief Declares a program's settings and reads their values. A flag overrides its environment
+/// variable.
 ///
 /// @code
 /// auto parsed = settings::SettingsBuilder("ferrytray-gate", "Serves callers.")
@@ -85,7 +86,7 @@
   }
 
   SettingsBuilder& Add(Setting aSetting);
-  /// @brief Allows words besides flags, such as a command and its files.
+  /// @brief Allows positional arguments, such as a command and its files.
   SettingsBuilder& AllowArguments(std::string aUsage);
   [[nodiscard]] ParseOutcome Build(int aArgc, const char* const* aArgv) const;
 
@@ -96,17 +97,17 @@
   std::vector<Setting> m_settings;
 };
 
-/// @brief Exit codes of every program.
+/// @brief Exit codes shared by all programs.
 inline constexpr int kExitOk = 0;
 inline constexpr int kExitFailed = 1;
 inline constexpr int kExitBadSettings = 2;
 
-/// @brief Prints what Build gave unless it is settings.
+/// @brief Prints the result of Build unless it holds settings.
 /// @return the settings, or null with aExitCode set
 const Settings* SettingsOrExit(const ParseOutcome& aParsed, int& aExitCode);
 
-/// @brief Runs a program with its settings, unless Build gave something else to print.
-/// @param aRun takes the settings. @return its exit code, or that of what was printed
+/// @brief Runs a program with its settings; prints the result of Build if it holds none.
+/// @param aRun called with the settings. @return its exit code, or that for the printed result
 template<typename Run>
 int RunWith(const ParseOutcome& aParsed, const Run& aRun)
 {
