--- a/include/ferrytray/telemetry/line_sink.hpp
+++ b/include/ferrytray/telemetry/line_sink.hpp
@@ -7,7 +7,7 @@
 
 namespace ferrytray::telemetry {
 
-/// @brief Where structured lines go. The default hands them to glog.
+/// @brief Destination of structured log lines. Without a sink, they go to glog.
 class LineSink
 {
 public:
@@ -15,20 +15,20 @@
   virtual void Write(std::string_view aLine) = 0;
 };
 
-/// @brief Sets the program's sink; null restores the default. The sink must outlive its use.
+/// @brief Sets the process-wide sink; null restores the default. The sink must outlive its use.
 void SetLineSink(LineSink* aSink);
 
-/// @brief Writes lines to a descriptor without ever waiting for its reader.
+/// @brief Writes lines to a file descriptor without blocking on its reader.
 ///
-/// Lines gather in a bounded buffer until Flush(). What a slow reader leaves no room for is
-/// dropped and counted; the count is told in a line of its own when there is room again.
+/// Lines are buffered until Flush(). While a slow reader keeps the bounded buffer full, lines are
+/// dropped and counted; the count is logged as a separate line once there is room again.
 class BoundedSink final : public LineSink
 {
 public:
-  /// @param aDescriptor made non-blocking here
+  /// @param aDescriptor switched to non-blocking mode by the constructor
   BoundedSink(int aDescriptor, std::size_t aCapacityBytes);
   void Write(std::string_view aLine) override;
-  /// @brief Hands what was gathered to the descriptor, as far as it takes it.
+  /// @brief Writes as much of the buffer as the descriptor accepts.
   void Flush();
   [[nodiscard]] std::uint64_t Dropped() const { return m_dropped; }
 
--- a/include/ferrytray/telemetry/log_line.hpp
+++ b/include/ferrytray/telemetry/log_line.hpp
@@ -6,7 +6,7 @@
 
 namespace ferrytray::telemetry {
 
-/// @brief One log line of key=value pairs; written when it goes out of scope.
+/// @brief One log line of key=value pairs, written by the destructor.
 ///
 /// @code
 /// telemetry::LogLine("route").Add("request", id).Add("worker", name);
@@ -19,7 +19,8 @@
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
 
-  /// @brief Adds a pair; a value with spaces or quotes is quoted.
+  /// @brief Adds a pair. A value that is empty or has whitespace, quotes or '=' is quoted, and its
+  /// control characters become '?'.
   LogLine& Add(std::string_view aKey, std::string_view aValue);
 
   template<typename Number>
@@ -34,7 +35,7 @@
   std::string m_text;
 };
 
-/// @brief Starts glog for a program: lines go to standard error.
+/// @brief Initializes glog for a program, with output to standard error.
 void StartLogging(const char* aProgram);
 
 } // namespace ferrytray::telemetry
--- a/include/ferrytray/telemetry/log_rate_limiter.hpp
+++ b/include/ferrytray/telemetry/log_rate_limiter.hpp
@@ -13,13 +13,14 @@
 
 struct LogRateLimiterOptions
 {
-  base::Duration m_interval = std::chrono::seconds(10); ///< between two lines of one cause
-  std::size_t m_maxCauses = 64;                         ///< within that time
+  base::Duration m_interval =
+    std::chrono::seconds(10);   ///< minimum time between two lines of one cause
+  std::size_t m_maxCauses = 64; ///< maximum number of causes logged per interval
 };
 
-/// @brief Lets one log line of each cause through in a while, and tells how many it kept. Pure.
+/// @brief Admits one log line per cause and interval and counts the suppressed ones. Does no I/O.
 ///
-/// What others write into a shared log may be wrong thousands of times a second.
+/// Other writers may append malformed records to a shared log thousands of times per second.
 class LogRateLimiter
 {
 public:
@@ -28,8 +29,9 @@
   {
   }
 
-  /// @brief Something happened for that cause.
-  /// @return if it is to be logged: how many of its cause were kept since the last one that was
+  /// @brief Registers one event of a cause.
+  /// @return if the event is to be logged, the number of events of its cause suppressed since the
+  /// last logged one
   std::optional<std::uint64_t> Admit(std::string_view aCause, base::TimePoint aNow);
 
 private:
--- a/include/ferrytray/telemetry/metrics.hpp
+++ b/include/ferrytray/telemetry/metrics.hpp
@@ -7,7 +7,7 @@
 
 namespace ferrytray::telemetry {
 
-/// @brief Count, sum and quantiles of a figure (Boost.Accumulators).
+/// @brief Count, sum and quantiles of the observed values (Boost.Accumulators).
 class Distribution
 {
 public:
@@ -27,7 +27,7 @@
   std::unique_ptr<Accumulators> m_accumulators;
 };
 
-/// @brief A program's figures, told as Prometheus text.
+/// @brief Counters, gauges and distributions of a program, exported as Prometheus text.
 class Metrics
 {
 public:
@@ -36,7 +36,7 @@
   void Set(const std::string& aName, double aValue) { m_gauges[aName] = aValue; }
   void Observe(const std::string& aName, double aValue) { m_distributions[aName].Add(aValue); }
   [[nodiscard]] double Counter(const std::string& aName) const;
-  /// @brief Everything, in Prometheus' text format with the prefix ferrytray_.
+  /// @brief Renders all metrics in the Prometheus text format, with the prefix ferrytray_.
   [[nodiscard]] std::string Render() const;
 
 private:
--- a/include/ferrytray/telemetry/request_trace.hpp
+++ b/include/ferrytray/telemetry/request_trace.hpp
@@ -10,14 +10,14 @@
 
 namespace ferrytray::telemetry {
 
-/// @brief A log line of key=value pairs taken apart.
+/// @brief A parsed log line of key=value pairs.
 class ParsedLine
 {
 public:
-  /// @brief Reads what LogLine wrote; anything before "event=" (a collector's time and host) is
-  /// kept as it is. @return empty if there is no event
+  /// @brief Parses the output of LogLine. Any text before "event=", such as the time and host added
+  /// by a log collector, is kept in Text(). @return empty if there is no event
   static std::optional<ParsedLine> Parse(std::string_view aLine);
-  /// @return empty if the line has no such key
+  /// @brief Returns the value of a key; empty if the line has no such key.
   [[nodiscard]] std::string_view Value(std::string_view aKey) const;
   [[nodiscard]] const std::string& Text() const { return m_text; }
 
@@ -28,36 +28,37 @@
 
 struct RequestTraceOptions
 {
-  /// Lines kept, of each log, on what the process believed (endpoints, configuration,
-  /// dependencies).
+  /// Maximum number of context lines (endpoints, configuration, dependencies) kept per log until
+  /// the request's first line.
   std::size_t m_maxContextLines = 5000;
-  /// Such lines that are shown from before the request's first.
+  /// Maximum number of context lines shown before the request's first line.
   std::size_t m_contextLinesBefore = 3;
 };
 
-/// @brief One request's lines out of the logs of several hosts, with what else decided it there.
+/// @brief Collects the lines of one request from the logs of several hosts, with their context.
 ///
-/// A host's lines stay in their order. Between the request's own lines stand those that changed
-/// what that host believed of the endpoints it was sent to, and of the record log.
+/// The lines of each host keep their order. The context lines between them report changes in the
+/// host's view of the endpoints that the request was sent to, of its configuration and of its
+/// dependencies, such as the record log.
 class RequestTrace
 {
 public:
   explicit RequestTrace(std::string aRequest, RequestTraceOptions aOptions = {});
-  /// @param aLog where the line is from: a host's name or a file's
+  /// @param aLog source of the line: the name of a host or a file
   void Add(const std::string& aLog, std::string_view aLine);
-  /// @brief The story as text, one log after the other; empty if no line names the request.
+  /// @brief Renders the trace as text, one log after the other; empty if no line names the request.
   [[nodiscard]] std::string Render() const;
 
 private:
   struct Entry
   {
     ParsedLine m_line;
-    bool m_namesRequest = false; ///< names the request
+    bool m_namesRequest = false;
   };
   struct Log
   {
     std::deque<Entry> m_entries;
-    std::set<std::string, std::less<>> m_endpoints; ///< that the request was sent to
+    std::set<std::string, std::less<>> m_endpoints; ///< to which the request was sent
     std::size_t m_requestLines = 0;
   };
 
--- a/src/ferrytray/telemetry/line_sink_test.cpp
+++ b/src/ferrytray/telemetry/line_sink_test.cpp
@@ -31,7 +31,7 @@
 {
   telemetry::BoundedSink sink(m_pipe[1], 1000);
   const std::string line(99, 'x');
-  for (int i = 0; i < 100'000; ++i) { // far over what the pipe and the buffer take
+  for (int i = 0; i < 100'000; ++i) { // far more than the pipe and the buffer hold
     sink.Write(line);
     sink.Flush();
   }
--- a/src/ferrytray/telemetry/log_rate_limiter.cpp
+++ b/src/ferrytray/telemetry/log_rate_limiter.cpp
@@ -14,7 +14,7 @@
       });
     }
     if (m_causes.size() >= m_options.m_maxCauses) {
-      return std::nullopt; // as many lines as may come in that time have come
+      return std::nullopt; // the maximum number of causes was logged in this interval
     }
     m_causes.try_emplace(std::string(aCause), Cause{ aNow, 0 });
     return 0;
--- a/src/ferrytray/telemetry/log_summary.cpp
+++ b/src/ferrytray/telemetry/log_summary.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// As cache::PartFate has them; telemetry knows no other module.
+// Names of cache::PartFate, repeated here since telemetry must not depend on cache.
 constexpr std::array<std::string_view, 6> kFates{ "unshared",   "fetched", "saved",
                                                   "on_its_way", "no_room", "no_contact" };
 
--- a/src/ferrytray/telemetry/metrics.cpp
+++ b/src/ferrytray/telemetry/metrics.cpp
@@ -26,7 +26,7 @@
   return text.data();
 }
 
-/// Splits `name{labels}` so that a label can be added.
+/// Splits `name{labels}` into the name and the labels with a trailing comma, to add another label.
 std::pair<std::string, std::string> SplitLabels(const std::string& aName)
 {
   const std::size_t brace = aName.find('{');
--- a/src/ferrytray/telemetry/request_trace.cpp
+++ b/src/ferrytray/telemetry/request_trace.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// What changes a host's beliefs as a whole; lines on single endpoints count only for the
-/// request's.
+/// Events that change the state of a whole host. Events of single endpoints are context only if
+/// the request was sent to that endpoint.
 const std::set<std::string, std::less<>>& HostEvents()
 {
   static const std::set<std::string, std::less<>> events{
@@ -26,7 +26,7 @@
   return events;
 }
 
-/// Takes one value off the front, quoted or not.
+/// Removes one value, quoted or not, from the front of aRemaining and returns it.
 std::string TakeValue(std::string_view& aRemaining)
 {
   if (!aRemaining.starts_with('"')) {
@@ -102,7 +102,7 @@
     }
   }
   log.m_entries.push_back({ std::move(*line), namesRequest });
-  // Of a long log, only the newest beliefs before the request matter.
+  // Bounds memory for long logs: only the newest context before the request matters.
   if (log.m_requestLines == 0 && log.m_entries.size() > m_options.m_maxContextLines) {
     log.m_entries.pop_front();
   }
@@ -121,7 +121,7 @@
   std::deque<const ParsedLine*> pendingContext;
   for (const Entry& entry : aLog.m_entries) {
     if (remaining == 0) {
-      break; // what the host learnt later did not decide this
+      break; // context after the request's last line had no effect on it
     }
     if (entry.m_namesRequest) {
       for (const ParsedLine* line : pendingContext) {
