--- a/src/ferrytray/telemetry/log_rate_limiter_test.cpp
+++ b/src/ferrytray/telemetry/log_rate_limiter_test.cpp
@@ -18,7 +18,7 @@
   telemetry::LogRateLimiter m_limiter;
 };
 
-TEST(LogRateLimiter, AdmitsOneLinePerCauseAndIntervalAndCountsSuppressed)
+TEST(LogRateLimiter, AdmitsOnePerIntervalAndCountsSuppressed)
 {
   LONGS_EQUAL(0, m_limiter.Admit("bad", kStart).value_or(99));
   for (int i = 0; i < 5000; ++i) {
@@ -29,13 +29,13 @@
   LONGS_EQUAL(1, m_limiter.Admit("bad", kStart + 20s).value_or(99));
 }
 
-TEST(LogRateLimiter, LimitsEachCauseSeparately)
+TEST(LogRateLimiter, LimitsCausesSeparately)
 {
   LONGS_EQUAL(0, m_limiter.Admit("one", kStart).value_or(99));
   LONGS_EQUAL(0, m_limiter.Admit("other", kStart).value_or(99));
 }
 
-TEST(LogRateLimiter, LimitsTotalNumberOfCauses)
+TEST(LogRateLimiter, LimitsNumberOfCauses)
 {
   std::size_t lines = 0;
   for (int i = 0; i < 10'000; ++i) {
