--- a/include/ferrytray/gate/keeper_connection.hpp
+++ b/include/ferrytray/gate/keeper_connection.hpp
@@ -68,7 +68,7 @@
   replay::Registry m_registry;
   std::map<std::string, std::uint64_t> m_accepted;
   std::uint64_t m_position = 0;
-  std::uint64_t m_lastQuestion = 0;               ///< number of the last ConfigurationAgeQuestion
+  std::uint64_t m_lastQuestion = 0;               ///< number of the last ConfigurationAgeRequest
   std::deque<base::TimePoint> m_questionSentAt;   ///< send times of recent questions, newest first
   std::optional<base::TimePoint> m_configKnownAt; ///< log records up to then are known
   bool m_hasConfig = false;
--- a/include/ferrytray/keeper/half_controller.hpp
+++ b/include/ferrytray/keeper/half_controller.hpp
@@ -14,39 +14,39 @@
 
 namespace ferrytray::keeper {
 
-/// @brief Records the ends of hand-overs in this half's log: its own, once every gate has drained,
-/// and the other half's, once the other half says that it has recorded one.
+/// @brief Records the end of ownership epochs in this half's log: the epochs that this half ended,
+/// once every gate has drained, and those that the other half reports as ended.
 class HalfController
 {
 public:
   HalfController(net::Loop& aLoop, net::HttpClient& aHttp, const KeeperOptions& aOptions);
   void Start();
-  /// @brief One round.
+  /// @brief Runs one control round: appends due records and queries the other half.
   /// @param aRules the rules in force
-  /// @param aListed entry hosts by the platform's list
-  /// @param aMembers members heard of
-  /// @param aMine whether this host acts for the half
+  /// @param aListedHosts entry hosts in the platform's host list
+  /// @param aMembers members known by gossip
+  /// @param aIsResponsible whether this host acts for the half
   void OnRound(const std::vector<const config::HalfRule*>& aRules,
-               const std::set<std::string>& aListed,
+               const std::set<std::string>& aListedHosts,
                const std::vector<membership::Member>& aMembers,
-               bool aMine);
-  /// @brief What the log says of every rule.
+               bool aIsResponsible);
+  /// @brief Returns the ended epochs of every rule in the log.
   [[nodiscard]] wire::HalfUpdate Epochs() const;
-  /// @brief Whether the stream was read to its end once.
-  [[nodiscard]] bool Known() const { return m_follower.CaughtUp(); }
+  /// @brief Whether the topic has been read to its end at least once.
+  [[nodiscard]] bool CaughtUp() const { return m_follower.CaughtUp(); }
 
 private:
   void OnPage(const wire::LogPage& aPage);
-  void Record(const char* aKind, const std::string& aRule, std::uint64_t aEpoch);
-  void AskOther(const config::HalfRule& aRule);
+  void AppendRecord(const char* aKind, const std::string& aRule, std::uint64_t aEpoch);
+  void QueryOtherHalf(const config::HalfRule& aRule);
   [[nodiscard]] wire::HalfEpochs EpochsOf(const std::string& aRule) const;
 
   net::HttpClient& m_http;
   wire::LogFollower m_follower;
   wire::LogClient m_appender;
   std::map<std::string, wire::HalfEpochs> m_epochs;
-  std::set<std::string> m_asking;
-  bool m_appending = false;
+  std::set<std::string> m_pendingQueries;
+  bool m_appendPending = false;
 };
 
 } // namespace ferrytray::keeper
--- a/include/ferrytray/keeper/peer_catch_up.hpp
+++ b/include/ferrytray/keeper/peer_catch_up.hpp
@@ -9,25 +9,25 @@
 
 namespace ferrytray::keeper {
 
-/// @brief Asks a peer that is ahead for its configuration, so that a host that is cut off from the
-/// log still learns.
+/// @brief Requests the configuration from a peer with a higher position, so that a host that
+/// cannot reach the log still receives changes.
 class PeerCatchUp
 {
 public:
-  /// Keeps references to the loop and the configuration.
+  /// @brief Keeps references to the loop and the configuration, which must outlive this object.
   /// @param aHost this host's name
   PeerCatchUp(net::Loop& aLoop, ConfigSync& aConfig, std::string aHost);
-  /// @brief Asks one peer, unless the log answers or a peer has not answered yet.
-  void AskIfBehind(std::span<const membership::Member> aLive);
+  /// @brief Sends a request to one peer, unless the log is reachable or a request is pending.
+  void RequestStateIfBehind(std::span<const membership::Member> aLive);
 
 private:
-  void Ask(const net::Address& aPeer, std::uint64_t aMine);
+  void RequestState(const net::Address& aPeer, std::uint64_t aOwnPosition);
 
   net::Loop& m_loop;
   ConfigSync& m_config;
   std::string m_host;
-  net::TimerHandle m_timeout;
-  bool m_asking = false;
+  net::TimerHandle m_timeoutTimer;
+  bool m_requestPending = false;
 };
 
 } // namespace ferrytray::keeper
--- a/src/ferrytray/gate/crash_log_client.cpp
+++ b/src/ferrytray/gate/crash_log_client.cpp
@@ -63,7 +63,11 @@
                                net::HttpClient& aHttp,
                                const GateOptions& aOptions)
   : m_loop(aLoop)
-  , m_follower(aLoop, aHttp, aOptions.m_platform, kTopic, wire::FollowWithin(kMaxPropagationDelay))
+  , m_follower(aLoop,
+               aHttp,
+               aOptions.m_platform,
+               kTopic,
+               wire::MakeFollowerOptions(kMaxPropagationDelay))
   , m_appender(aHttp, aOptions.m_platform, kTopic)
 {
 }
@@ -141,7 +145,7 @@
   m_appender.Append(Encode(sent), [this, sent](const base::Result<std::uint64_t>& aOffset) {
     m_appending = false;
     if (aOffset) {
-      m_follower.Expect(*aOffset);
+      m_follower.ExpectRecord(*aOffset);
     } else {
       // The append may have succeeded; duplicate notices count once.
       m_pendingNotices.insert(m_pendingNotices.begin(), sent.begin(), sent.end());
--- a/src/ferrytray/gate/gate.cpp
+++ b/src/ferrytray/gate/gate.cpp
@@ -266,7 +266,7 @@
       return {};
     }
     const auto epochs = m_core.m_keeper->Epochs(aRule->m_name);
-    if (epochs && control::MayServe(wire::HalfViewOf(*aRule, *epochs))) {
+    if (epochs && control::MayServe(wire::MakeHalfView(*aRule, *epochs))) {
       return {};
     }
     return tl::unexpected(base::Failure{ ErrorCode::OtherHalfOwns,
--- a/src/ferrytray/gate/keeper_connection.cpp
+++ b/src/ferrytray/gate/keeper_connection.cpp
@@ -67,13 +67,13 @@
   if (m_questionSentAt.size() > kMaxPendingQuestions) {
     m_questionSentAt.pop_back();
   }
-  m_channel->Send(wire::EncodeFrame(wire::ConfigurationAgeQuestion{ ++m_lastQuestion }));
+  m_channel->Send(wire::EncodeFrame(wire::ConfigurationAgeRequest{ ++m_lastQuestion }));
 }
 
 void KeeperConnection::Handle(const wire::ConfigurationAge& aAge)
 {
-  const std::uint64_t index = m_lastQuestion - aAge.m_question;
-  if (aAge.m_question > m_lastQuestion || index >= m_questionSentAt.size()) {
+  const std::uint64_t index = m_lastQuestion - aAge.m_requestId;
+  if (aAge.m_requestId > m_lastQuestion || index >= m_questionSentAt.size()) {
     return; // reply to a question that is no longer tracked
   }
   const base::TimePoint configKnownAt =
