--- a/include/ferrytray/net/bounded_archive.hpp
+++ b/include/ferrytray/net/bounded_archive.hpp
@@ -18,31 +18,31 @@
 public:
   explicit BoundedInputArchive(std::string_view aBytes)
     : InputArchive(this)
-    , m_left(aBytes)
+    , m_remaining(aBytes)
   {
   }
 
-  void Load(void* aTo, std::size_t aSize)
+  void Load(void* aDestination, std::size_t aSize)
   {
-    if (aSize > m_left.size()) {
+    if (aSize > m_remaining.size()) {
       throw std::length_error("too short");
     }
     if (aSize == 0) {
       return;
     }
-    std::memcpy(aTo, m_left.data(), aSize);
-    m_left.remove_prefix(aSize);
+    std::memcpy(aDestination, m_remaining.data(), aSize);
+    m_remaining.remove_prefix(aSize);
   }
 
   void CheckCount(std::uint64_t aCount) const
   {
-    if (aCount > m_left.size()) {
+    if (aCount > m_remaining.size()) {
       throw std::length_error("impossible size");
     }
   }
 
 private:
-  std::string_view m_left;
+  std::string_view m_remaining;
 };
 
 template<typename T>
--- a/src/ferrytray/net/curl_sockets.cpp
+++ b/src/ferrytray/net/curl_sockets.cpp
@@ -11,15 +11,15 @@
   {
   }
   asio::posix::stream_descriptor m_descriptor;
-  int m_want = 0;
+  int m_pollAction = 0;
   bool m_reading = false;
   bool m_writing = false;
-  bool m_gone = false;
+  bool m_removed = false;
 };
 
-void CurlSockets::Watch(curl_socket_t aSocket, int aWhat)
+void CurlSockets::Watch(curl_socket_t aSocket, int aPollAction)
 {
-  if (aWhat == CURL_POLL_REMOVE) {
+  if (aPollAction == CURL_POLL_REMOVE) {
     Unwatch(aSocket);
     return;
   }
@@ -28,7 +28,7 @@
     watched = std::make_shared<WatchedSocket>(m_context);
     watched->m_descriptor.assign(aSocket);
   }
-  watched->m_want = aWhat;
+  watched->m_pollAction = aPollAction;
   Arm(aSocket, watched);
 }
 
@@ -38,7 +38,7 @@
   if (found == m_sockets.end()) {
     return;
   }
-  found->second->m_gone = true;
+  found->second->m_removed = true;
   // libcurl owns and closes the socket.
   found->second->m_descriptor.release();
   m_sockets.erase(found);
@@ -46,8 +46,8 @@
 
 void CurlSockets::Arm(curl_socket_t aSocket, const std::shared_ptr<WatchedSocket>& aWatched)
 {
-  const bool wantRead = (aWatched->m_want & CURL_POLL_IN) != 0;
-  const bool wantWrite = (aWatched->m_want & CURL_POLL_OUT) != 0;
+  const bool wantRead = (aWatched->m_pollAction & CURL_POLL_IN) != 0;
+  const bool wantWrite = (aWatched->m_pollAction & CURL_POLL_OUT) != 0;
   if (wantRead && !aWatched->m_reading) {
     aWatched->m_reading = true;
     aWatched->m_descriptor.async_wait(asio::posix::stream_descriptor::wait_read,
@@ -71,11 +71,11 @@
                           int aEvents,
                           const asio::error_code& aError)
 {
-  if (aError || aWatched->m_gone) {
+  if (aError || aWatched->m_removed) {
     return;
   }
   m_onReady(aSocket, aEvents);
-  if (!aWatched->m_gone) {
+  if (!aWatched->m_removed) {
     Arm(aSocket, aWatched);
   }
 }
--- a/src/ferrytray/net/curl_sockets.hpp
+++ b/src/ferrytray/net/curl_sockets.hpp
@@ -22,8 +22,8 @@
   {
   }
 
-  /// @param aWhat one of libcurl's CURL_POLL_ values
-  void Watch(curl_socket_t aSocket, int aWhat);
+  /// @param aPollAction one of libcurl's CURL_POLL_ values
+  void Watch(curl_socket_t aSocket, int aPollAction);
 
 private:
   void Unwatch(curl_socket_t aSocket);
--- a/src/ferrytray/net/datagram.cpp
+++ b/src/ferrytray/net/datagram.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using asio::ip::udp;
-constexpr std::size_t kMaxDatagram = 65536;
+constexpr std::size_t kMaxDatagramBytes = 65536;
 
 class AsioDatagramSocket final : public DatagramSocket
 {
@@ -72,7 +72,7 @@
 
   udp::socket m_socket;
   udp::endpoint m_from;
-  std::array<char, kMaxDatagram> m_buffer{};
+  std::array<char, kMaxDatagramBytes> m_buffer{};
   DatagramHandler m_handler;
 };
 
--- a/src/ferrytray/net/frame_channel.cpp
+++ b/src/ferrytray/net/frame_channel.cpp
@@ -59,8 +59,8 @@
     if (!m_open) {
       return;
     }
-    m_queue.push_back(EncodeFrame(aFrame));
-    if (m_queue.size() == 1) {
+    m_writeQueue.push_back(EncodeFrame(aFrame));
+    if (m_writeQueue.size() == 1) {
       WriteNext();
     }
   }
@@ -137,14 +137,14 @@
   void WriteNext()
   {
     asio::async_write(m_socket,
-                      asio::buffer(m_queue.front()),
+                      asio::buffer(m_writeQueue.front()),
                       [self = shared_from_this()](const asio::error_code& aError, std::size_t) {
                         if (aError) {
                           self->Close();
                           return;
                         }
-                        self->m_queue.pop_front();
-                        if (!self->m_queue.empty()) {
+                        self->m_writeQueue.pop_front();
+                        if (!self->m_writeQueue.empty()) {
                           self->WriteNext();
                         }
                       });
@@ -153,7 +153,7 @@
   tcp::socket m_socket;
   std::array<unsigned char, kLengthBytes> m_length{};
   std::string m_body;
-  std::deque<std::string> m_queue;
+  std::deque<std::string> m_writeQueue;
   std::function<void(std::string_view)> m_onFrame;
   std::function<void()> m_onClosed;
   bool m_open = true;
--- a/src/ferrytray/net/http_client.cpp
+++ b/src/ferrytray/net/http_client.cpp
@@ -22,8 +22,8 @@
 constexpr long kReceiveBufferBytes = 4096;
 constexpr long kMaxIdleConnections = 512;
 // Probes of a connection on which only the peer has something to send (seconds, count).
-constexpr int kProbeAfterSeconds = 1;
-constexpr int kProbes = 2;
+constexpr int kKeepAliveIntervalSeconds = 1;
+constexpr int kKeepAliveProbes = 2;
 constexpr int kFirstFinalStatus = 200;
 
 struct Call
@@ -33,9 +33,9 @@
   curl_slist* m_headerList = nullptr;
   std::string m_body;
   ClientEvents m_events;
-  bool m_statusTold = false;
-  bool m_gotBytes = false;
-  bool m_headTold = false;
+  bool m_statusReported = false;
+  bool m_receivedBytes = false;
+  bool m_headReported = false;
   bool m_sendOnce = false;
   int m_sends = 0;
   long m_peerTimeoutMillis = 0;
@@ -50,7 +50,9 @@
     : m_context(aContext)
     , m_timer(aContext)
     , m_multi(curl_multi_init())
-    , m_sockets(aContext, [this](curl_socket_t aSocket, int aEvents) { Act(aSocket, aEvents); })
+    , m_sockets(aContext, [this](curl_socket_t aSocket, int aEvents) {
+      PerformSocketAction(aSocket, aEvents);
+    })
   {
     curl_multi_setopt(m_multi, CURLMOPT_SOCKETFUNCTION, &CurlClient::OnSocket);
     curl_multi_setopt(m_multi, CURLMOPT_SOCKETDATA, this);
@@ -71,7 +73,7 @@
   CallId Start(ClientRequest aRequest, ClientEvents aEvents) override
   {
     auto call = std::make_unique<Call>();
-    call->m_id = ++m_lastId;
+    call->m_id = ++m_lastCallId;
     call->m_easy = curl_easy_init();
     call->m_body = std::move(aRequest.m_body);
     call->m_events = std::move(aEvents);
@@ -80,9 +82,9 @@
     m_calls.emplace(id, std::move(call));
     if (m_inCallback) {
       // libcurl refuses new handles from within its own callback.
-      asio::post(m_context, [this, id] { Add(id); });
+      asio::post(m_context, [this, id] { AddToMulti(id); });
     } else {
-      Add(id);
+      AddToMulti(id);
     }
     return id;
   }
@@ -118,7 +120,7 @@
     m_bytes += static_cast<std::uint64_t>(down + headers + request);
   }
 
-  void Add(CallId aId)
+  void AddToMulti(CallId aId)
   {
     const auto found = m_calls.find(aId);
     if (found != m_calls.end()) {
@@ -160,7 +162,7 @@
     }
     aCall.m_peerTimeoutMillis = base::ToMillis(aRequest.m_peerTimeout);
     if (aCall.m_peerTimeoutMillis > 0) {
-      curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, &CurlClient::OnSocketMade);
+      curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, &CurlClient::OnSocketCreated);
       curl_easy_setopt(easy, CURLOPT_SOCKOPTDATA, &aCall);
     }
     if (aRequest.m_ownConnection) {
@@ -182,14 +184,14 @@
     curl_slist_free_all(aCall.m_headerList);
   }
 
-  void TellStatus(Call& aCall)
+  void ReportStatus(Call& aCall)
   {
-    if (aCall.m_statusTold) {
+    if (aCall.m_statusReported) {
       return;
     }
     long status = 0;
     curl_easy_getinfo(aCall.m_easy, CURLINFO_RESPONSE_CODE, &status);
-    aCall.m_statusTold = true;
+    aCall.m_statusReported = true;
     if (aCall.m_events.m_onStatus) {
       aCall.m_events.m_onStatus(static_cast<int>(status));
     }
@@ -198,24 +200,24 @@
   static std::size_t OnHeader(char* aLine, std::size_t aSize, std::size_t aCount, void* aCall)
   {
     auto& call = *static_cast<Call*>(aCall);
-    call.m_gotBytes = true;
+    call.m_receivedBytes = true;
     std::string_view line(aLine, aSize * aCount);
     line = line.substr(0, line.find_last_not_of("\r\n") + 1);
     if (line.starts_with("HTTP/")) {
       call.m_headers.clear();
-      call.m_headTold = false;
+      call.m_headReported = false;
     } else if (line.empty()) {
-      s_current->TellHead(call);
+      s_current->ReportHead(call);
     } else if (const std::size_t colon = line.find(':'); colon != std::string_view::npos) {
       std::string_view value = line.substr(colon + 1);
       value.remove_prefix(std::min(value.find_first_not_of(" \t"), value.size()));
       call.m_headers.emplace_back(line.substr(0, colon), value);
-      KeepEtag(call);
+      StoreEtag(call);
     }
     return aSize * aCount;
   }
 
-  static void KeepEtag(Call& aCall)
+  static void StoreEtag(Call& aCall)
   {
     const auto& [name, value] = aCall.m_headers.back();
     if (strcasecmp(name.c_str(), "etag") == 0) {
@@ -223,15 +225,15 @@
     }
   }
 
-  void TellHead(Call& aCall)
+  void ReportHead(Call& aCall)
   {
     long status = 0;
     curl_easy_getinfo(aCall.m_easy, CURLINFO_RESPONSE_CODE, &status);
     // A chunked reply's trailer ends with an empty line, too.
-    if (status < kFirstFinalStatus || aCall.m_headTold || !aCall.m_events.m_onHead) {
+    if (status < kFirstFinalStatus || aCall.m_headReported || !aCall.m_events.m_onHead) {
       return;
     }
-    aCall.m_headTold = true;
+    aCall.m_headReported = true;
     m_inCallback = true;
     aCall.m_events.m_onHead(static_cast<int>(status), aCall.m_headers);
     m_inCallback = false;
@@ -245,7 +247,7 @@
     return call.m_sendOnce && call.m_sends > 1 ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
   }
 
-  static int OnSocketMade(void* aCall, curl_socket_t aSocket, curlsocktype)
+  static int OnSocketCreated(void* aCall, curl_socket_t aSocket, curlsocktype)
   {
     const auto& call = *static_cast<const Call*>(aCall);
     const auto set = [aSocket](int aLevel, int aName, int aValue) {
@@ -253,9 +255,9 @@
     };
     set(IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(call.m_peerTimeoutMillis));
     set(SOL_SOCKET, SO_KEEPALIVE, 1);
-    set(IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterSeconds);
-    set(IPPROTO_TCP, TCP_KEEPINTVL, kProbeAfterSeconds);
-    set(IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+    set(IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIntervalSeconds);
+    set(IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
+    set(IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbes);
     return CURL_SOCKOPT_OK;
   }
 
@@ -264,7 +266,7 @@
     auto& call = *static_cast<Call*>(aCall);
     CurlClient& self = *s_current;
     self.m_inCallback = true;
-    self.TellStatus(call);
+    self.ReportStatus(call);
     if (call.m_events.m_onData) {
       call.m_events.m_onData({ aData, aSize * aCount });
     }
@@ -272,15 +274,15 @@
     return aSize * aCount;
   }
 
-  static int OnSocket(CURL*, curl_socket_t aSocket, int aWhat, void* aSelf, void*)
+  static int OnSocket(CURL*, curl_socket_t aSocket, int aPollAction, void* aClient, void*)
   {
-    static_cast<CurlClient*>(aSelf)->m_sockets.Watch(aSocket, aWhat);
+    static_cast<CurlClient*>(aClient)->m_sockets.Watch(aSocket, aPollAction);
     return 0;
   }
 
-  static int OnTimer(CURLM*, long aMillis, void* aSelf)
+  static int OnTimer(CURLM*, long aMillis, void* aClient)
   {
-    static_cast<CurlClient*>(aSelf)->SetTimer(aMillis);
+    static_cast<CurlClient*>(aClient)->SetTimer(aMillis);
     return 0;
   }
 
@@ -293,29 +295,29 @@
     m_timer.expires_after(std::chrono::milliseconds(aMillis));
     m_timer.async_wait([this](const asio::error_code& aError) {
       if (!aError) {
-        Act(CURL_SOCKET_TIMEOUT, 0);
+        PerformSocketAction(CURL_SOCKET_TIMEOUT, 0);
       }
     });
   }
 
-  void Act(curl_socket_t aSocket, int aEvents)
+  void PerformSocketAction(curl_socket_t aSocket, int aEvents)
   {
     s_current = this;
     int running = 0;
     curl_multi_socket_action(m_multi, aSocket, aEvents, &running);
-    CollectFinished();
+    FinishCompletedCalls();
   }
 
-  void CollectFinished()
+  void FinishCompletedCalls()
   {
     int left = 0;
     while (CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
       if (message->msg != CURLMSG_DONE) {
         continue;
       }
-      char* priv = nullptr;
-      curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &priv);
-      const auto* raw = reinterpret_cast<Call*>(priv);
+      char* privateData = nullptr;
+      curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &privateData);
+      const auto* raw = reinterpret_cast<Call*>(privateData);
       Finish(raw->m_id, message->data.result);
     }
   }
@@ -328,7 +330,7 @@
     const ClientOutcome outcome = OutcomeOf(*call, aResult);
     CountBytes(*call);
     if (outcome.m_status != 0) {
-      TellStatus(*call);
+      ReportStatus(*call);
     }
     Release(*call);
     if (call->m_events.m_onEnd) {
@@ -347,7 +349,7 @@
     outcome.m_etag = aCall.m_etag;
     if (aResult == CURLE_OK) {
       outcome.m_end = WireEnd::Complete;
-    } else if (aCall.m_gotBytes) {
+    } else if (aCall.m_receivedBytes) {
       outcome.m_end = WireEnd::BrokenReply;
     } else if (aCall.m_sends > 0) {
       outcome.m_end = WireEnd::NoReply;
@@ -363,7 +365,7 @@
   asio::io_context& m_context;
   asio::steady_timer m_timer;
   CURLM* m_multi;
-  CallId m_lastId = 0;
+  CallId m_lastCallId = 0;
   std::uint64_t m_bytes = 0;
   bool m_inCallback = false;
   std::map<CallId, std::unique_ptr<Call>> m_calls;
--- a/src/ferrytray/net/http_server.cpp
+++ b/src/ferrytray/net/http_server.cpp
@@ -23,7 +23,7 @@
 constexpr int kKeepAliveProbes = 3;
 
 /// Tells replies that their connection has closed.
-class ConnectionWatch
+class ConnectionTracker
 {
 public:
   void state_changed(const restinio::connection_state::notice_t& aNotice) noexcept
@@ -32,50 +32,50 @@
     const std::uint64_t id = aNotice.connection_id();
     if (restinio::holds_alternative<restinio::connection_state::accepted_t>(cause)) {
       ++m_counters.m_accepted;
-      m_open[id] = {};
-      m_open[id].m_peer = aNotice.remote_endpoint();
+      m_connections[id] = {};
+      m_connections[id].m_peer = aNotice.remote_endpoint();
     } else if (restinio::holds_alternative<restinio::connection_state::closed_t>(cause)) {
       OnConnectionClosed(id);
     }
   }
 
-  void RequestSeen(std::uint64_t aConnection)
+  void OnRequestReceived(std::uint64_t aConnection)
   {
-    Connection& connection = m_open[aConnection];
-    connection.m_seen = true;
-    ++connection.m_requests;
+    Connection& connection = m_connections[aConnection];
+    connection.m_receivedRequest = true;
+    ++connection.m_pendingRequests;
   }
 
-  void RequestAnswered(std::uint64_t aConnection)
+  void OnReplyWritten(std::uint64_t aConnection)
   {
-    const auto found = m_open.find(aConnection);
-    if (found != m_open.end() && found->second.m_requests > 0) {
-      --found->second.m_requests;
+    const auto found = m_connections.find(aConnection);
+    if (found != m_connections.end() && found->second.m_pendingRequests > 0) {
+      --found->second.m_pendingRequests;
     }
   }
 
   [[nodiscard]] std::size_t Unanswered() const
   {
-    std::size_t unanswered = 0;
-    for (const auto& [id, connection] : m_open) {
-      unanswered += connection.m_requests;
+    std::size_t pending = 0;
+    for (const auto& [id, connection] : m_connections) {
+      pending += connection.m_pendingRequests;
     }
-    return unanswered;
+    return pending;
   }
 
   void CloseIdle() const
   {
-    for (const auto& [id, connection] : m_open) {
-      if (connection.m_requests == 0) {
-        TrackedSocket::Break(connection.m_peer);
+    for (const auto& [id, connection] : m_connections) {
+      if (connection.m_pendingRequests == 0) {
+        TrackedSocket::Shutdown(connection.m_peer);
       }
     }
   }
 
-  void Attach(std::uint64_t aConnection, std::function<void()> aCall)
+  void SetOnClosed(std::uint64_t aConnection, std::function<void()> aCall)
   {
-    const auto found = m_open.find(aConnection);
-    if (found != m_open.end()) {
+    const auto found = m_connections.find(aConnection);
+    if (found != m_connections.end()) {
       found->second.m_onClosed = std::move(aCall);
     }
   }
@@ -85,8 +85,8 @@
 private:
   struct Connection
   {
-    bool m_seen = false;
-    std::uint32_t m_requests = 0; ///< seen and not answered
+    bool m_receivedRequest = false;
+    std::uint32_t m_pendingRequests = 0; ///< seen and not answered
     asio::ip::tcp::endpoint m_peer;
     std::function<void()> m_onClosed;
   };
@@ -94,13 +94,13 @@
   void OnConnectionClosed(std::uint64_t aConnection)
   {
     ++m_counters.m_closed;
-    const auto found = m_open.find(aConnection);
-    if (found == m_open.end()) {
+    const auto found = m_connections.find(aConnection);
+    if (found == m_connections.end()) {
       return;
     }
     const Connection connection = std::move(found->second);
-    m_open.erase(found);
-    if (!connection.m_seen) {
+    m_connections.erase(found);
+    if (!connection.m_receivedRequest) {
       ++m_counters.m_closedBeforeRequest;
     }
     if (connection.m_onClosed) {
@@ -109,13 +109,13 @@
   }
 
   HttpServerCounters m_counters;
-  std::unordered_map<std::uint64_t, Connection> m_open;
+  std::unordered_map<std::uint64_t, Connection> m_connections;
 };
 
 struct Traits : public restinio::default_single_thread_traits_t
 {
   using stream_socket_t = TrackedSocket;
-  using connection_state_listener_t = ConnectionWatch;
+  using connection_state_listener_t = ConnectionTracker;
   using request_handler_t =
     std::function<restinio::request_handling_status_t(restinio::request_handle_t)>;
 };
@@ -128,9 +128,9 @@
   , public std::enable_shared_from_this<RestinioReply>
 {
 public:
-  RestinioReply(restinio::request_handle_t aRequest, std::shared_ptr<ConnectionWatch> aWatch)
+  RestinioReply(restinio::request_handle_t aRequest, std::shared_ptr<ConnectionTracker> aTracker)
     : m_request(std::move(aRequest))
-    , m_watch(std::move(aWatch))
+    , m_tracker(std::move(aTracker))
     , m_connection(m_request->connection_id())
   {
   }
@@ -140,7 +140,7 @@
     if (m_done) {
       return;
     }
-    End();
+    MarkDone();
     auto response = m_request->create_response(StatusLine(aStatus));
     if (m_closeAfter) {
       response.connection_close();
@@ -149,7 +149,7 @@
       response.append_header(name, value);
     }
     response.set_body(std::move(aBody));
-    response.done(OnWritten());
+    response.done(WriteCompletionHandler());
     m_request.reset();
   }
 
@@ -158,36 +158,37 @@
     if (m_done) {
       return;
     }
-    m_builder = std::make_unique<ChunkedBuilder>(
+    m_chunkedResponse = std::make_unique<ChunkedBuilder>(
       m_request->create_response<restinio::chunked_output_t>(StatusLine(aStatus)));
     if (m_closeAfter) {
-      m_builder->connection_close();
+      m_chunkedResponse->connection_close();
     }
     for (const auto& [name, value] : aHeaders) {
-      m_builder->append_header(name, value);
+      m_chunkedResponse->append_header(name, value);
     }
-    m_builder->flush();
+    m_chunkedResponse->flush();
   }
 
   void Write(std::string aPiece) override
   {
-    if (m_done || !m_builder || aPiece.empty()) {
+    if (m_done || !m_chunkedResponse || aPiece.empty()) {
       return;
     }
     const std::size_t size = aPiece.size();
-    m_pending += size;
-    m_builder->append_chunk(std::move(aPiece));
-    m_builder->flush([self = shared_from_this(), size](const auto&) { self->m_pending -= size; });
+    m_pendingBytes += size;
+    m_chunkedResponse->append_chunk(std::move(aPiece));
+    m_chunkedResponse->flush(
+      [self = shared_from_this(), size](const auto&) { self->m_pendingBytes -= size; });
   }
 
   void Finish() override
   {
-    if (m_done || !m_builder) {
+    if (m_done || !m_chunkedResponse) {
       return;
     }
-    End();
-    m_builder->done(OnWritten());
-    m_builder.reset();
+    MarkDone();
+    m_chunkedResponse->done(WriteCompletionHandler());
+    m_chunkedResponse.reset();
     m_request.reset();
   }
 
@@ -196,20 +197,20 @@
     if (m_done) {
       return;
     }
-    End();
-    TrackedSocket::Break(m_request->remote_endpoint());
-    m_builder.reset();
+    MarkDone();
+    TrackedSocket::Shutdown(m_request->remote_endpoint());
+    m_chunkedResponse.reset();
     m_request.reset();
   }
 
   void CloseAfter() override { m_closeAfter = true; }
 
-  [[nodiscard]] std::size_t PendingBytes() const override { return m_pending; }
+  [[nodiscard]] std::size_t PendingBytes() const override { return m_pendingBytes; }
 
   void OnClosed(std::function<void()> aCall) override
   {
     std::weak_ptr<RestinioReply> weak = weak_from_this();
-    m_watch->Attach(m_connection, [weak, call = std::move(aCall)] {
+    m_tracker->SetOnClosed(m_connection, [weak, call = std::move(aCall)] {
       const auto self = weak.lock();
       if (self && !self->m_done) {
         self->m_done = true;
@@ -219,17 +220,17 @@
   }
 
 private:
-  void End()
+  void MarkDone()
   {
     m_done = true;
-    m_watch->Attach(m_connection, nullptr);
+    m_tracker->SetOnClosed(m_connection, nullptr);
   }
 
   /// An answer counts as given once it is written: closing earlier would cut it.
-  std::function<void(const asio::error_code&)> OnWritten()
+  std::function<void(const asio::error_code&)> WriteCompletionHandler()
   {
-    return [watch = m_watch, connection = m_connection](const auto&) {
-      watch->RequestAnswered(connection);
+    return [tracker = m_tracker, connection = m_connection](const auto&) {
+      tracker->OnReplyWritten(connection);
     };
   }
 
@@ -240,10 +241,10 @@
   }
 
   restinio::request_handle_t m_request;
-  std::shared_ptr<ConnectionWatch> m_watch;
+  std::shared_ptr<ConnectionTracker> m_tracker;
   std::uint64_t m_connection;
-  std::unique_ptr<ChunkedBuilder> m_builder;
-  std::size_t m_pending = 0;
+  std::unique_ptr<ChunkedBuilder> m_chunkedResponse;
+  std::size_t m_pendingBytes = 0;
   bool m_done = false;
   bool m_closeAfter = false;
 };
@@ -267,7 +268,7 @@
 public:
   RestinioServer(Loop& aLoop, const HttpServerOptions& aOptions, HttpHandler aHandler)
     : m_address(aOptions.m_listen)
-    , m_watch(std::make_shared<ConnectionWatch>())
+    , m_tracker(std::make_shared<ConnectionTracker>())
     , m_handler(std::move(aHandler))
     , m_server(restinio::external_io_context(aLoop.Impl().m_context),
                [&](auto& aSettings) { Configure(aSettings, aOptions); })
@@ -278,9 +279,9 @@
   ~RestinioServer() override { m_server.close_sync(); }
 
   [[nodiscard]] Address ListenAddress() const override { return m_address; }
-  [[nodiscard]] HttpServerCounters Counters() const override { return m_watch->Counters(); }
-  [[nodiscard]] std::size_t Unanswered() const override { return m_watch->Unanswered(); }
-  void CloseIdle() override { m_watch->CloseIdle(); }
+  [[nodiscard]] HttpServerCounters Counters() const override { return m_tracker->Counters(); }
+  [[nodiscard]] std::size_t Unanswered() const override { return m_tracker->Unanswered(); }
+  void CloseIdle() override { m_tracker->CloseIdle(); }
 
 private:
   template<typename Settings>
@@ -300,7 +301,7 @@
       // Reading on while a request is handled is what notices a caller that leaves.
       .max_pipelined_requests(2)
       .buffer_size(2U << 10U)
-      .connection_state_listener(m_watch)
+      .connection_state_listener(m_tracker)
       .socket_options_setter([](auto& aSocket) {
         aSocket.set_option(asio::ip::tcp::no_delay(true));
         aSocket.set_option(asio::socket_base::keep_alive(true));
@@ -314,25 +315,25 @@
         m_address.m_port = aAcceptor.local_endpoint().port();
       })
       .request_handler(
-        [this](restinio::request_handle_t aRequest) { return Handle(std::move(aRequest)); });
+        [this](restinio::request_handle_t aRequest) { return HandleRequest(std::move(aRequest)); });
   }
 
-  restinio::request_handling_status_t Handle(restinio::request_handle_t aRequest)
+  restinio::request_handling_status_t HandleRequest(restinio::request_handle_t aRequest)
   {
-    m_watch->RequestSeen(aRequest->connection_id());
+    m_tracker->OnRequestReceived(aRequest->connection_id());
     HttpRequest request = ToRequest(*aRequest);
-    auto reply = std::make_shared<RestinioReply>(std::move(aRequest), m_watch);
+    auto reply = std::make_shared<RestinioReply>(std::move(aRequest), m_tracker);
     m_handler(std::move(request), std::move(reply));
     return restinio::request_accepted();
   }
 
   Address m_address;
-  std::shared_ptr<ConnectionWatch> m_watch;
+  std::shared_ptr<ConnectionTracker> m_tracker;
   HttpHandler m_handler;
   Server m_server;
 };
 
-bool SameName(std::string_view aLeft, std::string_view aRight)
+bool EqualsIgnoringCase(std::string_view aLeft, std::string_view aRight)
 {
   return std::equal(aLeft.begin(), aLeft.end(), aRight.begin(), aRight.end(), [](char aL, char aR) {
     return std::tolower(static_cast<unsigned char>(aL)) ==
@@ -345,7 +346,7 @@
 std::string_view HttpRequest::Header(std::string_view aName) const
 {
   for (const auto& [name, value] : m_headers) {
-    if (SameName(name, aName)) {
+    if (EqualsIgnoringCase(name, aName)) {
       return value;
     }
   }
--- a/src/ferrytray/net/http_server_test.cpp
+++ b/src/ferrytray/net/http_server_test.cpp
@@ -17,12 +17,12 @@
   std::optional<net::ClientOutcome> m_outcome;
   std::string m_body;
 
-  void Serve(net::HttpHandler aHandler)
+  void StartServer(net::HttpHandler aHandler)
   {
     m_server = std::move(*net::HttpServer::Create(m_loop, {}, std::move(aHandler)));
   }
 
-  void Ask(net::ClientRequest aRequest = {})
+  void SendRequest(net::ClientRequest aRequest = {})
   {
     m_outcome.reset();
     m_body.clear();
@@ -35,7 +35,7 @@
                     });
   }
 
-  void Await()
+  void WaitForOutcome()
   {
     for (int i = 0; i < 4000 && !m_outcome; ++i) {
       m_loop.RunFor(5ms);
@@ -44,52 +44,52 @@
   }
 };
 
-TEST(HttpServer, ClosingIdleConnectionsDoesNotCutAnAnswerThatIsBeingWritten)
+TEST(HttpServer, CloseIdleKeepsConnectionWithReplyBeingWritten)
 {
   constexpr std::size_t kLargerThanSocketBuffers = 32U << 20U;
-  Serve([this](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
+  StartServer([this](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
     aReply->Send(200, {}, std::string(kLargerThanSocketBuffers, 'x'));
     m_server->CloseIdle();
     LONGS_EQUAL(1, m_server->Unanswered());
   });
-  Ask();
-  Await();
+  SendRequest();
+  WaitForOutcome();
   CHECK(m_outcome->m_end == net::WireEnd::Complete);
   LONGS_EQUAL(kLargerThanSocketBuffers, m_body.size());
   m_loop.RunFor(20ms);
   LONGS_EQUAL(0, m_server->Unanswered());
 }
 
-TEST(HttpServer, AnAbortedStreamDoesNotLookWhole)
+TEST(HttpServer, AbortedStreamIsReportedAsIncomplete)
 {
-  Serve([](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
+  StartServer([](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
     aReply->StartStream(200, {});
     aReply->Write("part");
     aReply->Abort();
   });
-  Ask();
-  Await();
+  SendRequest();
+  WaitForOutcome();
   CHECK(m_outcome->m_end != net::WireEnd::Complete);
 }
 
-TEST(HttpServer, TheTargetIsKeptAsItCame)
+TEST(HttpServer, RequestTargetIsNotNormalized)
 {
   std::string target;
-  Serve([&](const net::HttpRequest& aRequest, const std::shared_ptr<net::HttpReply>& aReply) {
+  StartServer([&](const net::HttpRequest& aRequest, const std::shared_ptr<net::HttpReply>& aReply) {
     target = aRequest.m_target;
     aReply->Send(200, {}, "");
   });
   net::ClientRequest request;
   request.m_target = "/a%2Fb//../c?x=%20&&";
-  Ask(request);
-  Await();
+  SendRequest(request);
+  WaitForOutcome();
   STRCMP_EQUAL("/a%2Fb//../c?x=%20&&", target.c_str());
 }
 
-TEST(HttpServer, ASendThatMayNotBeRepeatedIsNotRepeatedByTheClientItself)
+TEST(HttpServer, SendOnceRequestIsNotResentOnClosedReusedConnection)
 {
   int seen = 0;
-  Serve([&](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
+  StartServer([&](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
     if (++seen == 1) {
       aReply->Send(200, {}, ""); // the connection is kept
     } else {
@@ -100,10 +100,10 @@
   request.m_method = "POST";
   request.m_body = "x";
   request.m_sendOnce = true;
-  Ask(request);
-  Await();
-  Ask(request);
-  Await();
+  SendRequest(request);
+  WaitForOutcome();
+  SendRequest(request);
+  WaitForOutcome();
   LONGS_EQUAL(2, seen);
   CHECK(m_outcome->m_end == net::WireEnd::NoReply);
 }
--- a/src/ferrytray/net/loop.cpp
+++ b/src/ferrytray/net/loop.cpp
@@ -69,7 +69,7 @@
 }
 
 /// A stream takes two sockets; the usual soft limit of 1,024 would end a gate at 500.
-void RaiseFileLimit()
+void RaiseFileDescriptorLimit()
 {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -84,7 +84,7 @@
   : m_impl(std::make_unique<LoopImpl>())
 {
   std::signal(SIGPIPE, SIG_IGN);
-  RaiseFileLimit();
+  RaiseFileDescriptorLimit();
 }
 
 Loop::~Loop() = default;
@@ -124,19 +124,20 @@
 
 void Loop::OnTerminate(std::function<void()> aCall)
 {
-  m_impl->m_signals.add(SIGTERM);
-  m_impl->m_signals.add(SIGINT);
-  m_impl->m_signals.async_wait([call = std::move(aCall)](const asio::error_code& aError, int) {
-    if (!aError) {
-      call();
-    }
-  });
+  m_impl->m_terminationSignals.add(SIGTERM);
+  m_impl->m_terminationSignals.add(SIGINT);
+  m_impl->m_terminationSignals.async_wait(
+    [call = std::move(aCall)](const asio::error_code& aError, int) {
+      if (!aError) {
+        call();
+      }
+    });
 }
 
 void Loop::OnHangup(std::function<void()> aCall)
 {
-  m_impl->m_hangups.add(SIGHUP);
-  m_impl->m_hangups.async_wait(
+  m_impl->m_hangupSignals.add(SIGHUP);
+  m_impl->m_hangupSignals.async_wait(
     [this, call = std::move(aCall)](const asio::error_code& aError, int) {
       if (!aError) {
         call();
--- a/src/ferrytray/net/loop_impl.hpp
+++ b/src/ferrytray/net/loop_impl.hpp
@@ -10,8 +10,8 @@
 {
 public:
   asio::io_context m_context{ 1 };
-  asio::signal_set m_signals{ m_context };
-  asio::signal_set m_hangups{ m_context };
+  asio::signal_set m_terminationSignals{ m_context };
+  asio::signal_set m_hangupSignals{ m_context };
 };
 
 } // namespace ferrytray::net
--- a/src/ferrytray/net/tracked_socket.hpp
+++ b/src/ferrytray/net/tracked_socket.hpp
@@ -21,69 +21,69 @@
   TrackedSocket(TrackedSocket&& aOther) noexcept
     : Base(std::move(static_cast<Base&>(aOther)))
   {
-    aOther.Forget();
+    aOther.Unregister();
   }
   TrackedSocket& operator=(TrackedSocket&& aOther) noexcept
   {
-    Forget();
-    aOther.Forget();
+    Unregister();
+    aOther.Unregister();
     Base::operator=(std::move(static_cast<Base&>(aOther)));
     return *this;
   }
   TrackedSocket(const TrackedSocket&) = delete;
   TrackedSocket& operator=(const TrackedSocket&) = delete;
-  ~TrackedSocket() { Forget(); }
+  ~TrackedSocket() { Unregister(); }
 
   template<typename Buffers, typename Token>
   auto async_read_some(const Buffers& aBuffers, Token&& aToken)
   {
-    Remember();
+    Register();
     return Base::async_read_some(aBuffers, std::forward<Token>(aToken));
   }
 
   void close()
   {
-    Forget();
+    Unregister();
     Base::close();
   }
 
   /// Ends the connection of that peer in both directions. @return false when there is none
-  static bool Break(const asio::ip::tcp::endpoint& aPeer)
+  static bool Shutdown(const asio::ip::tcp::endpoint& aPeer)
   {
-    const auto found = Open().find(aPeer);
-    return found != Open().end() && ::shutdown(found->second, SHUT_RDWR) == 0;
+    const auto found = OpenSockets().find(aPeer);
+    return found != OpenSockets().end() && ::shutdown(found->second, SHUT_RDWR) == 0;
   }
 
 private:
   // All servers of a thread run in turn on its loop.
-  static std::map<asio::ip::tcp::endpoint, int>& Open()
+  static std::map<asio::ip::tcp::endpoint, int>& OpenSockets()
   {
-    static thread_local std::map<asio::ip::tcp::endpoint, int> open;
-    return open;
+    static thread_local std::map<asio::ip::tcp::endpoint, int> openSockets;
+    return openSockets;
   }
 
-  void Remember()
+  void Register()
   {
-    if (m_remembered) {
+    if (m_registered) {
       return;
     }
     asio::error_code error;
     m_peer = remote_endpoint(error);
     if (!error) {
-      Open()[m_peer] = native_handle();
-      m_remembered = true;
+      OpenSockets()[m_peer] = native_handle();
+      m_registered = true;
     }
   }
 
-  void Forget()
+  void Unregister()
   {
-    if (m_remembered) {
-      Open().erase(m_peer);
-      m_remembered = false;
+    if (m_registered) {
+      OpenSockets().erase(m_peer);
+      m_registered = false;
     }
   }
 
-  bool m_remembered = false;
+  bool m_registered = false;
   asio::ip::tcp::endpoint m_peer;
 };
 
