--- a/include/ferrytray/net/address.hpp
+++ b/include/ferrytray/net/address.hpp
@@ -25,6 +25,6 @@
 std::string ToString(const Address& aAddress);
 
 /// @brief "http://" followed by the address.
-std::string HttpBase(const Address& aAddress);
+std::string HttpBaseUrl(const Address& aAddress);
 
 } // namespace ferrytray::net
--- a/include/ferrytray/net/frame_channel.hpp
+++ b/include/ferrytray/net/frame_channel.hpp
@@ -43,6 +43,6 @@
 };
 
 /// @brief Connects; the handler gets the channel, or null when it could not connect.
-void ConnectFrames(Loop& aLoop, const Address& aTo, ChannelHandler aHandler);
+void ConnectFrameChannel(Loop& aLoop, const Address& aTo, ChannelHandler aHandler);
 
 } // namespace ferrytray::net
--- a/include/ferrytray/net/http_client.hpp
+++ b/include/ferrytray/net/http_client.hpp
@@ -24,7 +24,7 @@
   base::Duration m_timeout = std::chrono::seconds(30);
   /// Opens a connection of its own, so that libcurl can never resend the request by itself
   /// (it does so when a reused connection closes before the first reply byte).
-  bool m_ownConnection = false;
+  bool m_freshConnection = false;
   /// Lets libcurl reuse a connection, but fails the call instead of sending it a second time.
   bool m_sendOnce = false;
   /// Connections that were idle for longer are not reused (whole seconds; zero: libcurl's own).
@@ -73,7 +73,7 @@
   /// @brief Drops a request; none of its events come any more.
   virtual void Cancel(CallId aCall) = 0;
   /// @brief Bytes of requests and replies so far, headers included.
-  [[nodiscard]] virtual std::uint64_t BytesMoved() const = 0;
+  [[nodiscard]] virtual std::uint64_t BytesTransferred() const = 0;
   /// @brief Sends a request and hands over the whole reply.
   CallId Fetch(ClientRequest aRequest,
                std::function<void(const ClientOutcome&, std::string aBody)> aDone);
--- a/include/ferrytray/net/http_server.hpp
+++ b/include/ferrytray/net/http_server.hpp
@@ -49,7 +49,7 @@
   /// @brief Breaks an answer off: the connection closes and what was sent does not look whole.
   virtual void Abort() = 0;
   /// @brief Closes the connection after this answer. Call before the answer begins.
-  virtual void CloseAfter() = 0;
+  virtual void CloseAfterReply() = 0;
   /// @brief Bytes handed to Write() that the connection has not taken yet.
   [[nodiscard]] virtual std::size_t PendingBytes() const = 0;
   /// @brief Calls when the caller goes away before the answer is finished.
@@ -66,7 +66,7 @@
   std::size_t m_maxHeaderValueBytes = 48U << 10U;
   std::size_t m_maxConnections = 4096;
   base::Duration m_readTimeout = std::chrono::seconds(15);
-  base::Duration m_answerTimeout = std::chrono::hours(1);
+  base::Duration m_replyTimeout = std::chrono::hours(1);
 };
 
 /// @brief Counters of what never became a request.
@@ -90,7 +90,7 @@
   [[nodiscard]] virtual Address ListenAddress() const = 0;
   [[nodiscard]] virtual HttpServerCounters Counters() const = 0;
   /// @brief Requests whose answers have not been written whole.
-  [[nodiscard]] virtual std::size_t Unanswered() const = 0;
+  [[nodiscard]] virtual std::size_t PendingRequests() const = 0;
   /// @brief Closes every connection on which no request is being answered.
   virtual void CloseIdle() = 0;
 };
--- a/src/ferrytray/gate/engine_attempt.cpp
+++ b/src/ferrytray/gate/engine_attempt.cpp
@@ -35,7 +35,7 @@
   request.m_headers = { { "Content-Type", "application/json" } };
   request.m_body = std::exchange(m_request.m_body, {});
   // Every run is sent on a connection of its own: libcurl would resend it by itself otherwise.
-  request.m_ownConnection = true;
+  request.m_freshConnection = true;
   Send(std::move(request));
 }
 
--- a/src/ferrytray/gate/keeper_link.cpp
+++ b/src/ferrytray/gate/keeper_link.cpp
@@ -32,7 +32,7 @@
 
 void KeeperLink::Connect()
 {
-  net::ConnectFrames(
+  net::ConnectFrameChannel(
     m_loop, m_options.m_keeper, [this](std::shared_ptr<net::FrameChannel> aChannel) {
       if (!aChannel) {
         m_retry = m_loop.After(kReconnect, [this] { Connect(); });
--- a/src/ferrytray/gate/pass_through.cpp
+++ b/src/ferrytray/gate/pass_through.cpp
@@ -79,7 +79,7 @@
   request.m_body = aRequest.m_body;
   request.m_timeout = aCore.m_options.m_longestDeadline;
   // The home gate sees to it that nothing runs twice, but a resend would be refused as in use.
-  request.m_ownConnection = true;
+  request.m_freshConnection = true;
   auto passing = std::make_shared<Passing>(Passing{ std::move(aReply), aRequestId });
   net::ClientEvents events;
   events.m_onStatus = [passing](int aStatus) { passing->m_status = aStatus; };
--- a/src/ferrytray/gate/service_exchange.cpp
+++ b/src/ferrytray/gate/service_exchange.cpp
@@ -134,7 +134,7 @@
   request.m_timeout = std::max<base::Duration>(m_deadline - now, std::chrono::milliseconds(1));
   request.m_connectTimeout = kConnectTimeout;
   // libcurl resends on a reused connection by itself; a call that may not be repeated gets its own.
-  request.m_ownConnection = !Idempotent();
+  request.m_freshConnection = !Idempotent();
   m_core.m_view.BeginService(name);
   const auto self = shared_from_this();
   m_core.m_http->Fetch(std::move(request),
--- a/src/ferrytray/gate/ticket_handover.cpp
+++ b/src/ferrytray/gate/ticket_handover.cpp
@@ -93,7 +93,7 @@
 void TicketMover::SendTo(const net::Address& aPeer)
 {
   m_retry = m_core.m_loop.After(kRetryEvery, [this, aPeer] { SendTo(aPeer); });
-  net::ConnectFrames(
+  net::ConnectFrameChannel(
     m_core.m_loop, aPeer, [this](const std::shared_ptr<net::FrameChannel>& aChannel) {
       if (!aChannel) {
         return;
--- a/src/ferrytray/keeper/peer_catch_up.cpp
+++ b/src/ferrytray/keeper/peer_catch_up.cpp
@@ -2,7 +2,7 @@
 
 #include <utility> // for move
 
-#include "ferrytray/net/frame_channel.hpp" // for ConnectFrames
+#include "ferrytray/net/frame_channel.hpp" // for ConnectFrameChannel
 #include "ferrytray/wire/frames.hpp"       // for DecodeFrame, EncodeFrame, Hello
 
 namespace ferrytray::keeper {
@@ -44,7 +44,7 @@
 void PeerCatchUp::Ask(const net::Address& aPeer, std::uint64_t aMine)
 {
   m_asking = true;
-  net::ConnectFrames(
+  net::ConnectFrameChannel(
     m_loop, aPeer, [this, aMine](const std::shared_ptr<net::FrameChannel>& aChannel) {
       if (!aChannel) {
         m_asking = false;
--- a/src/ferrytray/net/address.cpp
+++ b/src/ferrytray/net/address.cpp
@@ -46,7 +46,7 @@
   return host + ":" + std::to_string(aAddress.m_port);
 }
 
-std::string HttpBase(const Address& aAddress)
+std::string HttpBaseUrl(const Address& aAddress)
 {
   return "http://" + ToString(aAddress);
 }
--- a/src/ferrytray/net/frame_channel.cpp
+++ b/src/ferrytray/net/frame_channel.cpp
@@ -231,7 +231,7 @@
   return server;
 }
 
-void ConnectFrames(Loop& aLoop, const Address& aTo, ChannelHandler aHandler)
+void ConnectFrameChannel(Loop& aLoop, const Address& aTo, ChannelHandler aHandler)
 {
   auto socket = std::make_shared<tcp::socket>(aLoop.Impl().m_context);
   asio::error_code error;
--- a/src/ferrytray/net/http_client.cpp
+++ b/src/ferrytray/net/http_client.cpp
@@ -106,7 +106,7 @@
     Release(*call);
   }
 
-  [[nodiscard]] std::uint64_t BytesMoved() const override { return m_bytes; }
+  [[nodiscard]] std::uint64_t BytesTransferred() const override { return m_bytes; }
 
 private:
   void CountBytes(const Call& aCall)
@@ -165,7 +165,7 @@
       curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, &CurlClient::OnSocketCreated);
       curl_easy_setopt(easy, CURLOPT_SOCKOPTDATA, &aCall);
     }
-    if (aRequest.m_ownConnection) {
+    if (aRequest.m_freshConnection) {
       curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
       curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
--- a/src/ferrytray/net/http_server.cpp
+++ b/src/ferrytray/net/http_server.cpp
@@ -54,7 +54,7 @@
     }
   }
 
-  [[nodiscard]] std::size_t Unanswered() const
+  [[nodiscard]] std::size_t PendingRequests() const
   {
     std::size_t pending = 0;
     for (const auto& [id, connection] : m_connections) {
@@ -203,7 +203,7 @@
     m_request.reset();
   }
 
-  void CloseAfter() override { m_closeAfter = true; }
+  void CloseAfterReply() override { m_closeAfter = true; }
 
   [[nodiscard]] std::size_t PendingBytes() const override { return m_pendingBytes; }
 
@@ -280,7 +280,10 @@
 
   [[nodiscard]] Address ListenAddress() const override { return m_address; }
   [[nodiscard]] HttpServerCounters Counters() const override { return m_tracker->Counters(); }
-  [[nodiscard]] std::size_t Unanswered() const override { return m_tracker->Unanswered(); }
+  [[nodiscard]] std::size_t PendingRequests() const override
+  {
+    return m_tracker->PendingRequests();
+  }
   void CloseIdle() override { m_tracker->CloseIdle(); }
 
 private:
@@ -296,7 +299,7 @@
       .port(aOptions.m_listen.m_port)
       .incoming_http_msg_limits(limits)
       .read_next_http_message_timelimit(aOptions.m_readTimeout)
-      .handle_request_timeout(aOptions.m_answerTimeout)
+      .handle_request_timeout(aOptions.m_replyTimeout)
       .write_http_response_timelimit(aOptions.m_readTimeout)
       // Reading on while a request is handled is what notices a caller that leaves.
       .max_pipelined_requests(2)
--- a/src/ferrytray/net/http_server_test.cpp
+++ b/src/ferrytray/net/http_server_test.cpp
@@ -26,7 +26,7 @@
   {
     m_outcome.reset();
     m_body.clear();
-    aRequest.m_url = net::HttpBase(m_server->ListenAddress()) + "/";
+    aRequest.m_url = net::HttpBaseUrl(m_server->ListenAddress()) + "/";
     aRequest.m_timeout = 20s;
     m_client->Fetch(std::move(aRequest),
                     [this](const net::ClientOutcome& aOutcome, std::string aBody) {
@@ -50,14 +50,14 @@
   StartServer([this](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
     aReply->Send(200, {}, std::string(kLargerThanSocketBuffers, 'x'));
     m_server->CloseIdle();
-    LONGS_EQUAL(1, m_server->Unanswered());
+    LONGS_EQUAL(1, m_server->PendingRequests());
   });
   SendRequest();
   WaitForOutcome();
   CHECK(m_outcome->m_end == net::WireEnd::Complete);
   LONGS_EQUAL(kLargerThanSocketBuffers, m_body.size());
   m_loop.RunFor(20ms);
-  LONGS_EQUAL(0, m_server->Unanswered());
+  LONGS_EQUAL(0, m_server->PendingRequests());
 }
 
 TEST(HttpServer, AbortedStreamIsReportedAsIncomplete)
--- a/src/ferrytray/relay/exchange.cpp
+++ b/src/ferrytray/relay/exchange.cpp
@@ -207,7 +207,7 @@
   } else {
     m_core.m_admissionLimits[m_service].OnAnswerStarted(*m_admissionTicket, base::MonotonicNow());
     if (m_core.m_stopping) {
-      m_reply->CloseAfter();
+      m_reply->CloseAfterReply();
     }
     m_reply->Send(
       aAttempt.m_head->m_status, aAttempt.m_head->m_forwardedHeaders, std::move(aAttempt.m_body));
@@ -281,7 +281,7 @@
       break;
     case NextStep::ForwardReply:
       if (m_core.m_stopping) {
-        m_reply->CloseAfter();
+        m_reply->CloseAfterReply();
       }
       m_reply->Send(status, aAttempt.m_head->m_forwardedHeaders, std::move(aAttempt.m_body));
       Finish("endpoint_failed");
--- a/src/ferrytray/relay/exchange_end.cpp
+++ b/src/ferrytray/relay/exchange_end.cpp
@@ -145,7 +145,7 @@
 {
   const GeneratedReply reply = m_core.m_format.WriteFailure(m_request.m_id, aFailure);
   if (m_core.m_stopping) {
-    m_reply->CloseAfter();
+    m_reply->CloseAfterReply();
   }
   m_reply->Send(reply.m_status, reply.m_headers, reply.m_body);
   m_core.m_metrics.Count("answers_own_total{code=\"" +
--- a/src/ferrytray/relay/exchange_reply.cpp
+++ b/src/ferrytray/relay/exchange_reply.cpp
@@ -99,7 +99,7 @@
     }
     m_core.m_admissionLimits[m_service].OnAnswerStarted(*m_admissionTicket, base::MonotonicNow());
     if (m_core.m_stopping) {
-      m_reply->CloseAfter();
+      m_reply->CloseAfterReply();
     }
     m_core.m_metrics.Observe("first_event_seconds",
                              base::Seconds(base::MonotonicNow() - m_arrivedAt));
--- a/src/ferrytray/relay/relay_front.cpp
+++ b/src/ferrytray/relay/relay_front.cpp
@@ -88,7 +88,7 @@
   }
   const GeneratedReply reply = m_core.m_format.WriteFailure(aRequestId, failure);
   if (m_core.m_stopping) {
-    aReply->CloseAfter();
+    aReply->CloseAfterReply();
   }
   aReply->Send(reply.m_status, reply.m_headers, reply.m_body);
   m_core.m_metrics.Count("answers_own_total{code=\"" +
--- a/src/ferrytray/relay/relay_host.cpp
+++ b/src/ferrytray/relay/relay_host.cpp
@@ -293,7 +293,7 @@
     m_core.m_refusesNewRequests = true;
     m_callers->CloseIdle();
   }
-  const bool finished = m_core.m_openExchanges == 0 && m_callers->Unanswered() == 0 &&
+  const bool finished = m_core.m_openExchanges == 0 && m_callers->PendingRequests() == 0 &&
                         passed >= m_options.m_minDrainTime;
   if (!finished && passed < m_options.m_maxDrainTime) {
     return;
--- a/src/ferrytray/wire/log_client.cpp
+++ b/src/ferrytray/wire/log_client.cpp
@@ -88,7 +88,7 @@
   request.m_headers = { { "Content-Type", "application/json" } };
   request.m_body = std::move(aBody);
   request.m_timeout = kAppendTimeout;
-  request.m_ownConnection = true;
+  request.m_freshConnection = true;
   Ask(std::move(request), "log append: ", ParseOffset, std::move(aDone));
 }
 
--- a/tests/integration/client.cpp
+++ b/tests/integration/client.cpp
@@ -19,7 +19,7 @@
   request.m_body = aCall.m_body;
   request.m_headers = aCall.m_headers;
   request.m_timeout = kLongLimit;
-  request.m_ownConnection = true;
+  request.m_freshConnection = true;
   return request;
 }
 
--- a/tests/support/fake_http.hpp
+++ b/tests/support/fake_http.hpp
@@ -29,7 +29,7 @@
     return m_calls.size();
   }
   void Cancel(ferrytray::net::CallId aCall) override { m_calls[aCall - 1].m_cancelled = true; }
-  [[nodiscard]] std::uint64_t BytesMoved() const override { return 0; }
+  [[nodiscard]] std::uint64_t BytesTransferred() const override { return 0; }
 
   /// Answers the newest call; the events' owner may start the next one meanwhile.
   void Head(int aStatus, const ferrytray::net::Headers& aHeaders)
@@ -77,7 +77,7 @@
   void Write(std::string aPiece) override { m_body += aPiece; }
   void Finish() override { m_finished = true; }
   void Abort() override { m_aborted = true; }
-  void CloseAfter() override { m_closes = true; }
+  void CloseAfterReply() override { m_closes = true; }
   [[nodiscard]] std::size_t PendingBytes() const override { return 0; }
   void OnClosed(std::function<void()> aCall) override { m_onClosed = std::move(aCall); }
 
