--- a/include/ferrytray/base/known_age.hpp
+++ b/include/ferrytray/base/denial_age.hpp
@@ -11,18 +11,20 @@
 /// Whatever was acknowledged before the follower's last answered read was begun is known. So what
 /// it denies is right as long as that read is no older than the bound within which a change is in
 /// force; a tenth of the bound is left for clocks that run apart.
-/// @param aDue that bound
-constexpr Duration DeniesWithin(Duration aDue)
+/// @param aPropagationBound that bound
+constexpr Duration ToMaxDenialAge(Duration aPropagationBound)
 {
-  constexpr int kPart = 90;
-  constexpr int kWhole = 100;
-  return aDue * kPart / kWhole;
+  constexpr int kUsablePercent = 90;
+  constexpr int kPercent = 100;
+  return aPropagationBound * kUsablePercent / kPercent;
 }
 
-/// @brief Whether something newer may be in force. @param aHeardAt unset: nothing was heard yet
-inline bool MayBeBehind(std::optional<TimePoint> aHeardAt, Duration aDeniesWithin, TimePoint aNow)
+/// @brief Whether something newer may be in force. @param aLastReadAt unset: nothing was heard yet
+inline bool MayBeBehind(std::optional<TimePoint> aLastReadAt,
+                        Duration aMaxDenialAge,
+                        TimePoint aNow)
 {
-  return !aHeardAt || aNow > *aHeardAt + aDeniesWithin;
+  return !aLastReadAt || aNow > *aLastReadAt + aMaxDenialAge;
 }
 
 } // namespace ferrytray::base
--- a/src/ferrytray/base/digest.cpp
+++ b/src/ferrytray/base/digest.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 constexpr std::size_t kHexDigits = 32;
-constexpr std::size_t kHalf = 16;
+constexpr std::size_t kHalfHexDigits = 16;
 
 std::string BytesToHex(const unsigned char* aBytes, std::size_t aCount)
 {
-  static constexpr char kAlphabet[] = "0123456789abcdef";
+  static constexpr char kHexAlphabet[] = "0123456789abcdef";
   std::string text;
   text.reserve(aCount * 2);
   for (std::size_t i = 0; i < aCount; ++i) {
-    text.push_back(kAlphabet[aBytes[i] >> 4U]);
-    text.push_back(kAlphabet[aBytes[i] & 0xFU]);
+    text.push_back(kHexAlphabet[aBytes[i] >> 4U]);
+    text.push_back(kHexAlphabet[aBytes[i] & 0xFU]);
   }
   return text;
 }
@@ -32,8 +32,10 @@
 Digest128 HashWithSeed(const Digest128& aSeed, std::string_view aBytes)
 {
   const XXH128_hash_t inner = XXH3_128bits_withSeed(aBytes.data(), aBytes.size(), aSeed.m_low);
-  const std::array<std::uint64_t, 4> mixed{ aSeed.m_high, aSeed.m_low, inner.high64, inner.low64 };
-  const XXH128_hash_t hash = XXH3_128bits(mixed.data(), sizeof(mixed));
+  const std::array<std::uint64_t, 4> combined{
+    aSeed.m_high, aSeed.m_low, inner.high64, inner.low64
+  };
+  const XXH128_hash_t hash = XXH3_128bits(combined.data(), sizeof(combined));
   return { hash.high64, hash.low64 };
 }
 
@@ -60,8 +62,8 @@
   if (aText.size() != kHexDigits || !allHex) {
     return std::nullopt;
   }
-  const std::string high(aText.substr(0, kHalf));
-  const std::string low(aText.substr(kHalf));
+  const std::string high(aText.substr(0, kHalfHexDigits));
+  const std::string low(aText.substr(kHalfHexDigits));
   constexpr int kBase = 16;
   return Digest128{ std::strtoull(high.c_str(), nullptr, kBase),
                     std::strtoull(low.c_str(), nullptr, kBase) };
@@ -77,7 +79,7 @@
 
 std::string RandomHex128()
 {
-  std::array<unsigned char, kHalf> bytes{};
+  std::array<unsigned char, kHalfHexDigits> bytes{};
   RAND_bytes(bytes.data(), static_cast<int>(bytes.size()));
   return BytesToHex(bytes.data(), bytes.size());
 }
--- a/src/ferrytray/base/error.cpp
+++ b/src/ferrytray/base/error.cpp
@@ -48,10 +48,10 @@
     default:
       break;
   }
-  constexpr int kFirstServerSide = 3000;
+  constexpr int kFirstServerErrorCode = 3000;
   const int number = static_cast<int>(aCode);
-  const bool callersFault = number < kFirstServerSide || (number >= 7000 && number < 8000);
-  return callersFault ? 400 : 503;
+  const bool clientError = number < kFirstServerErrorCode || (number >= 7000 && number < 8000);
+  return clientError ? 400 : 503;
 }
 
 tl::unexpected<Failure> Fail(ErrorCode aCode, std::string aMessage)
--- a/src/ferrytray/gate/keeper_link.cpp
+++ b/src/ferrytray/gate/keeper_link.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm> // for find, max
 
-#include "ferrytray/base/known_age.hpp"     // for DeniesWithin, MayBeBehind
+#include "ferrytray/base/denial_age.hpp"    // for ToMaxDenialAge, MayBeBehind
 #include "ferrytray/config/parse.hpp"       // for Parse
 #include "ferrytray/telemetry/log_line.hpp" // for LogLine
 
@@ -80,7 +80,7 @@
 
 bool KeeperLink::MayBeBehind(base::TimePoint aNow) const
 {
-  return base::MayBeBehind(m_heardAt, base::DeniesWithin(m_options.m_configurationDue), aNow);
+  return base::MayBeBehind(m_heardAt, base::ToMaxDenialAge(m_options.m_configurationDue), aNow);
 }
 
 void KeeperLink::OnFrame(std::string_view aBytes)
--- a/src/ferrytray/relay/feed_options.cpp
+++ b/src/ferrytray/relay/feed_options.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm> // for min
 
-#include "ferrytray/base/known_age.hpp" // for DeniesWithin
+#include "ferrytray/base/denial_age.hpp" // for ToMaxDenialAge
 
 namespace ferrytray::relay {
 
@@ -73,7 +73,7 @@
 
 base::Duration MaxDenialAge(const PropagationBounds& aBounds)
 {
-  return base::DeniesWithin(TightestOperatorBound(aBounds));
+  return base::ToMaxDenialAge(TightestOperatorBound(aBounds));
 }
 
 } // namespace ferrytray::relay
