--- a/include/ferrytray/experiment/model.hpp
+++ b/include/ferrytray/experiment/model.hpp
@@ -39,16 +39,17 @@
   std::uint32_t m_storeDiskBlocks = 12000;
   double m_reportLag = 0; ///< seconds
   Fault m_fault = Fault::None;
-  KeepRule m_keep = KeepRule::Index;
-  bool m_exportsYield = true; ///< exports move block by block while no import wants the link
+  EvictionRule m_evictionRule = EvictionRule::LeastValuable;
+  bool m_exportsYieldToImports =
+    true; ///< exports move block by block while no import wants the link
   std::uint64_t m_seed = 1;
 };
 
 /// @brief What one run measured.
 struct Outcome
 {
-  std::vector<double> m_firstToken; ///< seconds, one for each arrival, sorted
-  double m_recomputedShare = 0;     ///< of the context tokens that had been computed before
+  std::vector<double> m_timesToFirstToken; ///< seconds, one for each arrival, sorted
+  double m_recomputedShare = 0;            ///< of the context tokens that had been computed before
   double m_linkBytes = 0;
   double m_linkUse = 0; ///< busy share of the links
 
@@ -60,9 +61,9 @@
 ///
 /// The policy's own parts are the ones that the daemons use; engines, links and stores are
 /// queues. Prefill is served one at a time; decoding is left out.
-Outcome Play(const std::vector<Arrival>& aTrace,
-             const Policy& aPolicy,
-             const ModelOptions& aOptions);
+Outcome Simulate(const std::vector<Arrival>& aTrace,
+                 const Policy& aPolicy,
+                 const ModelOptions& aOptions);
 
 /// @brief The lowest mean time to first token of any assignment, for traces of a few arrivals.
 double OfflineBestMean(const std::vector<Arrival>& aTrace, const ModelOptions& aOptions);
--- a/include/ferrytray/experiment/policy.hpp
+++ b/include/ferrytray/experiment/policy.hpp
@@ -9,7 +9,7 @@
 namespace ferrytray::experiment {
 
 /// @brief The project's own choice.
-struct Estimated
+struct EstimatedCost
 {
   routing::CostWeights m_weights;
 };
@@ -35,16 +35,16 @@
 };
 
 using Policy =
-  std::variant<Estimated, RoundRobin, LeastLoad, AffinityHash, AlwaysRecompute, AlwaysRestore>;
+  std::variant<EstimatedCost, RoundRobin, LeastLoad, AffinityHash, AlwaysRecompute, AlwaysRestore>;
 
 /// @brief A policy's short name for tables.
 std::string NameOf(const Policy& aPolicy);
 
 /// @brief Which contexts a store keeps when it is full.
-enum class KeepRule : std::uint8_t
+enum class EvictionRule : std::uint8_t
 {
-  Index,       ///< routing::RetentionValue
-  LeastRecent, ///< naive twin
+  LeastValuable,     ///< routing::RetentionValue
+  LeastRecentlyUsed, ///< naive twin
 };
 
 } // namespace ferrytray::experiment
--- a/include/ferrytray/experiment/trace.hpp
+++ b/include/ferrytray/experiment/trace.hpp
@@ -11,13 +11,13 @@
 {
   double m_at = 0; ///< seconds
   std::uint32_t m_account = 0;
-  std::uint32_t m_context = 0; ///< prompts with the same context share their first blocks
-  std::uint32_t m_blocks = 0;  ///< whole KV blocks of the context
-  std::uint32_t m_tail = 0;    ///< tokens after the context
+  std::uint32_t m_context = 0;      ///< prompts with the same context share their first blocks
+  std::uint32_t m_blocks = 0;       ///< whole KV blocks of the context
+  std::uint32_t m_suffixTokens = 0; ///< tokens after the context
 };
 
 /// @brief What the traffic is made of.
-enum class Mix : std::uint8_t
+enum class TrafficMix : std::uint8_t
 {
   BurstsOfDrafts,    ///< drafts of a sitting, excerpts, bursts of some weeks
   BundlesAndLookups, ///< long datasheet bundles that repeat, short lookups
@@ -25,7 +25,7 @@
 
 struct TraceOptions
 {
-  Mix m_mix = Mix::BurstsOfDrafts;
+  TrafficMix m_mix = TrafficMix::BurstsOfDrafts;
   std::uint64_t m_seed = 1;
   double m_seconds = 1800; ///< scaled time
   double m_load = 0.8;     ///< of the engines' prefill capacity if everything were computed
--- a/src/ferrytray/experiment/model.cpp
+++ b/src/ferrytray/experiment/model.cpp
@@ -13,7 +13,7 @@
 class Placer
 {
 public:
-  Placement Place(Simulation& aSim, std::size_t aIndex, const Estimated& aPolicy)
+  Placement Place(Simulation& aSim, std::size_t aIndex, const EstimatedCost& aPolicy)
   {
     return Choose(aSim, aIndex, aPolicy.m_weights, true);
   }
@@ -31,30 +31,30 @@
 
   Placement Place(Simulation& aSim, std::size_t aIndex, const LeastLoad&)
   {
-    return { LeastReported(aSim, aSim.At(aIndex)), 0 };
+    return { LeastLoaded(aSim, aSim.ArrivalAt(aIndex)), 0 };
   }
 
   Placement Place(Simulation& aSim, std::size_t aIndex, const AffinityHash&)
   {
-    return { aSim.Homes(aSim.At(aIndex), 1).front(), 0 };
+    return { aSim.Homes(aSim.ArrivalAt(aIndex), 1).front(), 0 };
   }
 
   Placement Place(Simulation& aSim, std::size_t aIndex, const AlwaysRestore&)
   {
-    const Arrival& arrival = aSim.At(aIndex);
-    const std::size_t worker = LeastReported(aSim, arrival);
+    const Arrival& arrival = aSim.ArrivalAt(aIndex);
+    const std::size_t worker = LeastLoaded(aSim, arrival);
     const std::uint32_t cached = aSim.View(worker, arrival).m_cachedBlocks;
     const std::uint32_t stored = aSim.StoreOf(arrival).m_storedBlocks;
     return { worker, stored > cached ? stored - cached : 0 };
   }
 
 private:
-  static std::size_t LeastReported(Simulation& aSim, const Arrival& aArrival)
+  static std::size_t LeastLoaded(Simulation& aSim, const Arrival& aArrival)
   {
     std::size_t best = aSim.Random() % aSim.Workers();
     for (std::size_t i = 0; i < aSim.Workers(); ++i) {
       const bool usable = aSim.View(i, aArrival).m_usable;
-      if (usable && aSim.Reported(i) < aSim.Reported(best)) {
+      if (usable && aSim.ReportedQueueSeconds(i) < aSim.ReportedQueueSeconds(best)) {
         best = i;
       }
     }
@@ -66,7 +66,7 @@
                    const routing::CostWeights& aWeights,
                    bool aRestore)
   {
-    const Arrival& arrival = aSim.At(aIndex);
+    const Arrival& arrival = aSim.ArrivalAt(aIndex);
     std::vector<std::size_t> order = aSim.Homes(arrival, aSim.Workers());
     m_views.clear();
     for (const std::size_t worker : order) {
@@ -75,7 +75,7 @@
     const routing::StoreView store = aRestore ? aSim.StoreOf(arrival) : routing::StoreView{};
     m_stores.assign(m_views.size(), store);
     const routing::RequestShape shape{ arrival.m_blocks * aSim.Options().m_tokensPerBlock +
-                                         arrival.m_tail,
+                                         arrival.m_suffixTokens,
                                        arrival.m_blocks,
                                        aSim.Options().m_tokensPerBlock,
                                        aSim.Options().m_bytesPerBlock };
@@ -97,16 +97,16 @@
 
 double Outcome::Quantile(double aShare) const
 {
-  if (m_firstToken.empty()) {
+  if (m_timesToFirstToken.empty()) {
     return 0;
   }
-  const auto last = static_cast<double>(m_firstToken.size() - 1);
-  return m_firstToken[static_cast<std::size_t>(aShare * last)];
+  const auto last = static_cast<double>(m_timesToFirstToken.size() - 1);
+  return m_timesToFirstToken[static_cast<std::size_t>(aShare * last)];
 }
 
-Outcome Play(const std::vector<Arrival>& aTrace,
-             const Policy& aPolicy,
-             const ModelOptions& aOptions)
+Outcome Simulate(const std::vector<Arrival>& aTrace,
+                 const Policy& aPolicy,
+                 const ModelOptions& aOptions)
 {
   Simulation simulation(aTrace, aOptions);
   Placer placer;
@@ -125,20 +125,20 @@
     combinations *= options;
   }
   double best = kNever;
-  for (std::size_t code = 0; code < combinations; ++code) {
-    std::size_t rest = code;
+  for (std::size_t combination = 0; combination < combinations; ++combination) {
+    std::size_t rest = combination;
     Simulation simulation(aTrace, aOptions);
     const Outcome outcome = simulation.Run([&](Simulation& aSim, std::size_t aIndex) {
-      const std::size_t pick = rest % options;
+      const std::size_t option = rest % options;
       rest /= options;
-      const Arrival& arrival = aSim.At(aIndex);
-      const std::uint32_t cached = aSim.View(pick / 2, arrival).m_cachedBlocks;
+      const Arrival& arrival = aSim.ArrivalAt(aIndex);
+      const std::uint32_t cached = aSim.View(option / 2, arrival).m_cachedBlocks;
       const std::uint32_t stored = aSim.StoreOf(arrival).m_storedBlocks;
-      const bool restore = pick % 2 == 1 && stored > cached;
-      return Placement{ pick / 2, restore ? stored - cached : 0 };
+      const bool restore = option % 2 == 1 && stored > cached;
+      return Placement{ option / 2, restore ? stored - cached : 0 };
     });
     double sum = 0;
-    for (const double firstToken : outcome.m_firstToken) {
+    for (const double firstToken : outcome.m_timesToFirstToken) {
       sum += firstToken;
     }
     best = std::min(best, sum / static_cast<double>(aTrace.size()));
--- a/src/ferrytray/experiment/queues.hpp
+++ b/src/ferrytray/experiment/queues.hpp
@@ -19,7 +19,7 @@
 {
 public:
   explicit ContextCache(std::uint32_t aCapacity)
-    : m_capacity(aCapacity)
+    : m_capacityBlocks(aCapacity)
   {
   }
   void Put(std::uint32_t aContext, std::uint32_t aBlocks);
@@ -30,11 +30,11 @@
   struct Entry
   {
     std::uint32_t m_blocks;
-    std::list<std::uint32_t>::iterator m_place;
+    std::list<std::uint32_t>::iterator m_recencyPosition;
   };
-  std::uint32_t m_capacity;
-  std::uint32_t m_used = 0;
-  std::list<std::uint32_t> m_recent;
+  std::uint32_t m_capacityBlocks;
+  std::uint32_t m_usedBlocks = 0;
+  std::list<std::uint32_t> m_recencyOrder;
   std::unordered_map<std::uint32_t, Entry> m_entries;
 };
 
@@ -42,9 +42,10 @@
 class StoreModel
 {
 public:
-  StoreModel(const ModelOptions& aOptions, const std::vector<routing::ReturnHistogram>& aGaps)
+  StoreModel(const ModelOptions& aOptions,
+             const std::vector<routing::ReturnHistogram>& aReturnHistograms)
     : m_options(aOptions)
-    , m_gaps(aGaps)
+    , m_returnHistograms(aReturnHistograms)
     , m_linkSpeed(aOptions.m_linkBytesPerSecond)
   {
   }
@@ -52,10 +53,10 @@
   /// The blocks kept of a context.
   [[nodiscard]] std::uint32_t Blocks(std::uint32_t aContext) const;
   /// Bytes a second at which a context would come.
-  [[nodiscard]] double Speed(std::uint32_t aContext) const;
-  [[nodiscard]] double LinkFree() const { return m_linkFree; }
+  [[nodiscard]] double BytesPerSecond(std::uint32_t aContext) const;
+  [[nodiscard]] double LinkFreeAt() const { return m_linkFreeAt; }
   /// Books a transfer. @return when it ends
-  double Transfer(double aBytes, double aSpeed, double aNow);
+  double ScheduleTransfer(double aBytes, double aSpeed, double aNow);
   void Touch(std::uint32_t aContext, double aNow);
   /// Queues an export. It is moved block by block while no import wants the link.
   void QueueExport(std::uint32_t aContext,
@@ -63,23 +64,25 @@
                    std::uint32_t aBlocks,
                    double aNow);
   /// Moves queued exports in the link's idle time up to now.
-  void UseIdleTime(double aNow);
+  void AdvanceExports(double aNow);
   [[nodiscard]] bool IsQueued(std::uint32_t aContext) const;
   /// Keeps a context, displacing what is worth least.
-  void Keep(std::uint32_t aContext, std::uint32_t aAccount, std::uint32_t aBlocks, double aNow);
+  void Store(std::uint32_t aContext, std::uint32_t aAccount, std::uint32_t aBlocks, double aNow);
   /// Whether keeping it is worth the transfer.
-  [[nodiscard]] bool Wants(std::uint32_t aAccount, std::uint32_t aBlocks, double aNow) const;
-  void Kill();
+  [[nodiscard]] bool IsWorthExporting(std::uint32_t aAccount,
+                                      std::uint32_t aBlocks,
+                                      double aNow) const;
+  void Fail();
   void SetLinkSpeed(double aBytesPerSecond) { m_linkSpeed = aBytesPerSecond; }
-  [[nodiscard]] double BytesMoved() const { return m_bytesMoved; }
+  [[nodiscard]] double BytesTransferred() const { return m_bytesTransferred; }
   [[nodiscard]] double BusySeconds() const { return m_busySeconds; }
 
 private:
-  struct Kept
+  struct StoredContext
   {
     std::uint32_t m_account;
     std::uint32_t m_blocks;
-    double m_usedAt;
+    double m_lastUsedAt;
     bool m_onDisk;
   };
 
@@ -88,34 +91,35 @@
     std::uint32_t m_context;
     std::uint32_t m_account;
     std::uint32_t m_blocks;
-    std::uint32_t m_moved;
+    std::uint32_t m_transferredBlocks;
   };
 
-  [[nodiscard]] double Value(const Kept& aKept, double aNow) const;
-  std::unordered_map<std::uint32_t, Kept>::iterator Lowest(bool aOnDisk, double aNow);
+  [[nodiscard]] double Value(const StoredContext& aStored, double aNow) const;
+  std::unordered_map<std::uint32_t, StoredContext>::iterator FindLeastValuable(bool aOnDisk,
+                                                                               double aNow);
 
   ModelOptions m_options;
-  const std::vector<routing::ReturnHistogram>& m_gaps;
-  std::unordered_map<std::uint32_t, Kept> m_kept;
+  const std::vector<routing::ReturnHistogram>& m_returnHistograms;
+  std::unordered_map<std::uint32_t, StoredContext> m_stored;
   std::uint32_t m_memoryBlocks = 0;
   std::uint32_t m_diskBlocks = 0;
   std::deque<QueuedExport> m_exports;
   double m_linkSpeed;
-  double m_linkFree = 0;
+  double m_linkFreeAt = 0;
   double m_idleSince = 0;
-  double m_bytesMoved = 0;
+  double m_bytesTransferred = 0;
   double m_busySeconds = 0;
-  bool m_dead = false;
+  bool m_failed = false;
 };
 
 /// A request on its way through a worker.
 struct Job
 {
   std::size_t m_index = 0;
-  double m_arrival = 0;
-  double m_ready = 0;                 ///< its import is there
+  double m_arrivedAt = 0;
+  double m_readyAt = 0;               ///< its import is there
   std::uint32_t m_importedBlocks = 0; ///< prefix known after the import
-  double m_expected = 0;              ///< engine seconds, as estimated
+  double m_expectedSeconds = 0;       ///< engine seconds, as estimated
 };
 
 /// A worker: one prefill at a time, the earliest arrival whose import is there first.
--- a/src/ferrytray/experiment/trace.cpp
+++ b/src/ferrytray/experiment/trace.cpp
@@ -9,42 +9,42 @@
 namespace {
 
 constexpr std::uint32_t kAccounts = 10;
-constexpr double kZipf = 1.1;
+constexpr double kZipfExponent = 1.1;
 constexpr double kBurstStart = 0.45;
 constexpr double kBurstLength = 0.1;
 constexpr double kBurstFactor = 1.8;
 
 /// What one kind of traffic looks like.
-struct Shape
+struct TrafficShape
 {
   double m_shortShare; ///< of sessions: a lookup or an excerpt without returns
-  std::uint32_t m_leastBlocks;
-  std::uint32_t m_mostBlocks;
-  double m_returns;   ///< mean returns of a session whose account comes back
-  double m_gapMedian; ///< seconds of scaled time
-  double m_gapSigma;  ///< of the gap's logarithm
+  std::uint32_t m_minBlocks;
+  std::uint32_t m_maxBlocks;
+  double m_meanReturns;      ///< mean returns of a session whose account comes back
+  double m_gapMedianSeconds; ///< seconds of scaled time
+  double m_gapSigma;         ///< of the gap's logarithm
   bool m_burst;
 };
 
-Shape ShapeOf(Mix aMix)
+TrafficShape ShapeOf(TrafficMix aMix)
 {
-  if (aMix == Mix::BundlesAndLookups) {
+  if (aMix == TrafficMix::BundlesAndLookups) {
     return { 0.7, 40, 160, 6, 90, 1.0, false };
   }
   return { 0.6, 15, 80, 3, 60, 0.8, true };
 }
 
-class Generator
+class TraceGenerator
 {
 public:
-  explicit Generator(const TraceOptions& aOptions)
+  explicit TraceGenerator(const TraceOptions& aOptions)
     : m_options(aOptions)
     , m_shape(ShapeOf(aOptions.m_mix))
     , m_random(aOptions.m_seed)
   {
     std::vector<double> weights;
     for (std::uint32_t i = 0; i < kAccounts; ++i) {
-      weights.push_back(1 / std::pow(i + 1, kZipf));
+      weights.push_back(1 / std::pow(i + 1, kZipfExponent));
     }
     m_accounts = std::discrete_distribution<std::uint32_t>(weights.begin(), weights.end());
   }
@@ -55,9 +55,9 @@
     std::exponential_distribution<double> gap(rate);
     for (double at = gap(m_random); at < m_options.m_seconds; at += gap(m_random)) {
       AddSession(at);
-      const double place = at / m_options.m_seconds;
+      const double progress = at / m_options.m_seconds;
       const bool inBurst =
-        m_shape.m_burst && place > kBurstStart && place < kBurstStart + kBurstLength;
+        m_shape.m_burst && progress > kBurstStart && progress < kBurstStart + kBurstLength;
       if (inBurst && Uniform() < kBurstFactor - 1) {
         AddSession(at);
       }
@@ -72,14 +72,14 @@
   double Uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
 
   /// Every third account's users do not come back.
-  static bool Returns(std::uint32_t aAccount) { return aAccount % 3 != 2; }
+  static bool HasReturningUsers(std::uint32_t aAccount) { return aAccount % 3 != 2; }
 
   /// Sessions a second such that computing everything takes the wanted share of the engines.
   double SessionRate()
   {
-    const double meanBlocks = (m_shape.m_leastBlocks + m_shape.m_mostBlocks) / 2.0;
+    const double meanBlocks = (m_shape.m_minBlocks + m_shape.m_maxBlocks) / 2.0;
     const double longTokens =
-      (1 + m_shape.m_returns * 0.75) * (meanBlocks * m_options.m_tokensPerBlock + 150);
+      (1 + m_shape.m_meanReturns * 0.75) * (meanBlocks * m_options.m_tokensPerBlock + 150);
     const double tokens = m_shape.m_shortShare * 400 + (1 - m_shape.m_shortShare) * longTokens;
     return m_options.m_load * m_options.m_workers * m_options.m_tokensPerSecond / tokens;
   }
@@ -87,18 +87,19 @@
   void AddSession(double aAt)
   {
     const std::uint32_t account = m_accounts(m_random);
-    const std::uint32_t context = ++m_contexts;
+    const std::uint32_t context = ++m_contextCount;
     if (Uniform() < m_shape.m_shortShare) {
       const std::uint32_t blocks = Uniform() < 0.5 ? 0 : 1;
       m_trace.push_back(
         { aAt, account, context, blocks, 50 + static_cast<std::uint32_t>(Uniform() * 450) });
       return;
     }
-    const auto span = static_cast<double>(m_shape.m_mostBlocks - m_shape.m_leastBlocks);
-    const auto blocks = m_shape.m_leastBlocks + static_cast<std::uint32_t>(Uniform() * span);
-    std::lognormal_distribution<double> gap(std::log(m_shape.m_gapMedian), m_shape.m_gapSigma);
-    std::geometric_distribution<int> returns(1 / (1 + m_shape.m_returns));
-    const int count = Returns(account) ? returns(m_random) : 0;
+    const auto span = static_cast<double>(m_shape.m_maxBlocks - m_shape.m_minBlocks);
+    const auto blocks = m_shape.m_minBlocks + static_cast<std::uint32_t>(Uniform() * span);
+    std::lognormal_distribution<double> gap(std::log(m_shape.m_gapMedianSeconds),
+                                            m_shape.m_gapSigma);
+    std::geometric_distribution<int> returns(1 / (1 + m_shape.m_meanReturns));
+    const int count = HasReturningUsers(account) ? returns(m_random) : 0;
     double at = aAt;
     for (int i = 0; i <= count && at < m_options.m_seconds; ++i) {
       m_trace.push_back(
@@ -108,18 +109,18 @@
   }
 
   TraceOptions m_options;
-  Shape m_shape;
+  TrafficShape m_shape;
   std::mt19937_64 m_random;
   std::discrete_distribution<std::uint32_t> m_accounts;
   std::vector<Arrival> m_trace;
-  std::uint32_t m_contexts = 0;
+  std::uint32_t m_contextCount = 0;
 };
 
 } // namespace
 
 std::vector<Arrival> MakeTrace(const TraceOptions& aOptions)
 {
-  return Generator(aOptions).Make();
+  return TraceGenerator(aOptions).Make();
 }
 
 } // namespace ferrytray::experiment
--- a/tools/load_sweep.cpp
+++ b/tools/load_sweep.cpp
@@ -9,30 +9,30 @@
 
 namespace {
 
-using experiment::Mix;
 using experiment::ModelOptions;
 using experiment::Outcome;
 using experiment::Policy;
+using experiment::TrafficMix;
 using nlohmann::json;
 
 /// One deployment of the brief.
 struct Scenario
 {
   std::string m_name;
-  Mix m_mix = Mix::BurstsOfDrafts;
+  TrafficMix m_mix = TrafficMix::BurstsOfDrafts;
   std::uint32_t m_workers = 14;
   routing::CostWeights m_weights;
 };
 
 std::vector<Scenario> Scenarios()
 {
-  return { { "directorate", Mix::BurstsOfDrafts, 14, { 1, 0.2, 0.1 } },
-           { "kauri", Mix::BundlesAndLookups, 18, { 1, 2, 0.5, 4 } } };
+  return { { "directorate", TrafficMix::BurstsOfDrafts, 14, { 1, 0.2, 0.1 } },
+           { "kauri", TrafficMix::BundlesAndLookups, 18, { 1, 2, 0.5, 4 } } };
 }
 
 std::vector<Policy> PoliciesFor(const Scenario& aScenario)
 {
-  return { experiment::Estimated{ aScenario.m_weights },
+  return { experiment::EstimatedCost{ aScenario.m_weights },
            experiment::RoundRobin{},
            experiment::LeastLoad{},
            experiment::AffinityHash{},
@@ -69,9 +69,10 @@
   options.m_reportLag = aCase.m_lag;
   options.m_fault = aCase.m_fault;
   options.m_seed = aSeed;
-  const bool ours = std::holds_alternative<experiment::Estimated>(aPolicy);
-  options.m_keep = ours ? experiment::KeepRule::Index : experiment::KeepRule::LeastRecent;
-  options.m_exportsYield = ours;
+  const bool ours = std::holds_alternative<experiment::EstimatedCost>(aPolicy);
+  options.m_evictionRule =
+    ours ? experiment::EvictionRule::LeastValuable : experiment::EvictionRule::LeastRecentlyUsed;
+  options.m_exportsYieldToImports = ours;
   return options;
 }
 
@@ -87,7 +88,7 @@
     trace.m_seconds = aSeconds;
     trace.m_seed = seed;
     const Outcome outcome =
-      experiment::Play(experiment::MakeTrace(trace), aPolicy, ModelOf(aCase, aPolicy, seed));
+      experiment::Simulate(experiment::MakeTrace(trace), aPolicy, ModelOf(aCase, aPolicy, seed));
     const double p95 = outcome.Quantile(0.95);
     const auto runs = static_cast<double>(aSeeds);
     row.m_p50 += outcome.Quantile(0.5) / runs;
@@ -220,9 +221,10 @@
     model.m_workers = kWorkers;
     model.m_gates = 1;
     const double best = experiment::OfflineBestMean(trace, model);
-    const Outcome ours = experiment::Play(trace, experiment::Estimated{ { 1, 0, 0 } }, model);
+    const Outcome ours =
+      experiment::Simulate(trace, experiment::EstimatedCost{ { 1, 0, 0 } }, model);
     double mean = 0;
-    for (const double firstToken : ours.m_firstToken) {
+    for (const double firstToken : ours.m_timesToFirstToken) {
       mean += firstToken / static_cast<double>(trace.size());
     }
     worst = std::max(worst, mean / best);
