--- a/include/ferrytray/net/address.hpp
+++ b/include/ferrytray/net/address.hpp
@@ -9,7 +9,7 @@
 
 namespace ferrytray::net {
 
-/// @brief An IP number and a port. Names are never resolved.
+/// @brief An IP address and a port. Host names are not supported.
 struct Address
 {
   std::string m_ip;
@@ -17,14 +17,14 @@
   auto operator<=>(const Address&) const = default;
 };
 
-/// @brief Reads "10.0.0.1:80" or "[::1]:80".
-/// @return the address, or SettingInvalid when it is anything else
+/// @brief Parses "10.0.0.1:80" or "[::1]:80".
+/// @return the address, or SettingInvalid for any other text
 base::Result<Address> ParseAddress(std::string_view aText);
 
-/// @brief The form that ParseAddress reads.
+/// @brief Formats an address in the form that ParseAddress accepts.
 std::string ToString(const Address& aAddress);
 
-/// @brief "http://" followed by the address.
+/// @brief Returns "http://" followed by the address.
 std::string HttpBaseUrl(const Address& aAddress);
 
 } // namespace ferrytray::net
--- a/include/ferrytray/net/bounded_archive.hpp
+++ b/include/ferrytray/net/bounded_archive.hpp
@@ -10,8 +10,8 @@
 
 namespace ferrytray::net {
 
-/// @brief Reads what cereal's BinaryOutputArchive wrote, and believes no size that the bytes left
-/// could not hold: a damaged datagram must not make a host allocate gigabytes.
+/// @brief Reads the output of cereal's BinaryOutputArchive and rejects sizes that exceed the
+/// remaining bytes, so that a damaged datagram cannot make a host allocate gigabytes.
 class BoundedInputArchive
   : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>
 {
@@ -25,7 +25,7 @@
   void Load(void* aDestination, std::size_t aSize)
   {
     if (aSize > m_remaining.size()) {
-      throw std::length_error("too short");
+      throw std::length_error("unexpected end of archive");
     }
     if (aSize == 0) {
       return;
@@ -37,7 +37,7 @@
   void CheckCount(std::uint64_t aCount) const
   {
     if (aCount > m_remaining.size()) {
-      throw std::length_error("impossible size");
+      throw std::length_error("element count exceeds the remaining bytes");
     }
   }
 
@@ -73,7 +73,7 @@
 
 } // namespace ferrytray::net
 
-// cereal's own macro would pair the two both ways, and the output archive has its pair already.
+// CEREAL_SETUP_ARCHIVE_TRAITS maps both ways, but the output archive already has a counterpart.
 template<>
 struct cereal::traits::detail::get_output_from_input<ferrytray::net::BoundedInputArchive>
 {
--- a/include/ferrytray/net/datagram.hpp
+++ b/include/ferrytray/net/datagram.hpp
@@ -12,7 +12,7 @@
 
 using DatagramHandler = std::function<void(const Address& aFrom, std::string_view aBytes)>;
 
-/// @brief A UDP socket on one loop.
+/// @brief A UDP socket on one event loop.
 class DatagramSocket
 {
 public:
@@ -20,7 +20,7 @@
                                                               const Address& aListen,
                                                               DatagramHandler aHandler);
   virtual ~DatagramSocket() = default;
-  /// @brief Sends and forgets; UDP may lose it.
+  /// @brief Sends a datagram. Errors are ignored and delivery is not guaranteed.
   virtual void SendTo(const Address& aTo, std::string_view aBytes) = 0;
   [[nodiscard]] virtual Address ListenAddress() const = 0;
 };
--- a/include/ferrytray/net/frame_channel.hpp
+++ b/include/ferrytray/net/frame_channel.hpp
@@ -12,7 +12,7 @@
 
 namespace ferrytray::net {
 
-/// @brief Frames longer than this close the connection (bytes).
+/// @brief Maximum length of a frame (bytes). A longer one closes the connection.
 inline constexpr std::size_t kMaxFrameBytes = 64U << 20U;
 
 /// @brief One end of a TCP connection that carries length-prefixed frames.
@@ -23,7 +23,7 @@
   virtual void Send(std::string_view aFrame) = 0;
   virtual void Close() = 0;
   [[nodiscard]] virtual bool IsOpen() const = 0;
-  /// @brief The other end's IP number.
+  /// @brief The peer's IP address, or empty if the socket is not connected.
   [[nodiscard]] virtual std::string RemoteIp() const = 0;
   virtual void OnFrame(std::function<void(std::string_view)> aCall) = 0;
   virtual void OnClosed(std::function<void()> aCall) = 0;
@@ -31,7 +31,7 @@
 
 using ChannelHandler = std::function<void(std::shared_ptr<FrameChannel>)>;
 
-/// @brief Accepts frame channels.
+/// @brief Accepts TCP connections as frame channels.
 class FrameServer
 {
 public:
@@ -42,7 +42,7 @@
   [[nodiscard]] virtual Address ListenAddress() const = 0;
 };
 
-/// @brief Connects; the handler gets the channel, or null when it could not connect.
+/// @brief Connects to a server. The handler receives the channel, or null on failure.
 void ConnectFrameChannel(Loop& aLoop, const Address& aTo, ChannelHandler aHandler);
 
 } // namespace ferrytray::net
--- a/include/ferrytray/net/http_client.hpp
+++ b/include/ferrytray/net/http_client.hpp
@@ -12,34 +12,34 @@
 
 namespace ferrytray::net {
 
-/// @brief A request to send.
+/// @brief An HTTP request to send.
 struct ClientRequest
 {
   std::string m_method = "GET";
   std::string m_url;
   Headers m_headers;
   std::string m_body;
-  std::string m_target = {}; ///< sent as it is in place of the URL's path and query, if not empty
+  std::string m_target = {}; ///< sent unchanged in place of the URL's path and query, if not empty
   base::Duration m_connectTimeout = std::chrono::seconds(2);
   base::Duration m_timeout = std::chrono::seconds(30);
-  /// Opens a connection of its own, so that libcurl can never resend the request by itself
+  /// Opens a new connection and does not reuse it, so that libcurl never resends the request
   /// (it does so when a reused connection closes before the first reply byte).
   bool m_freshConnection = false;
-  /// Lets libcurl reuse a connection, but fails the call instead of sending it a second time.
+  /// Allows a reused connection, but fails the request instead of sending it a second time.
   bool m_sendOnce = false;
-  /// Connections that were idle for longer are not reused (whole seconds; zero: libcurl's own).
+  /// Connections idle for longer are not reused (whole seconds; zero: libcurl's default).
   base::Duration m_maxIdle{};
-  /// A peer that acknowledges nothing for so long is taken for dead (zero: the system's own).
+  /// A peer that acknowledges nothing for this long counts as dead (zero: system default).
   base::Duration m_peerTimeout{};
 };
 
-/// @brief How a request ended on the wire.
+/// @brief How far the transfer of a request and its reply got.
 enum class WireEnd : std::uint8_t
 {
-  Complete,    ///< a whole reply arrived
-  NotSent,     ///< no byte of the request left
-  NoReply,     ///< sent, then broken or timed out before any reply byte
-  BrokenReply, ///< broken or timed out within the reply
+  Complete,    ///< the whole reply arrived
+  NotSent,     ///< no byte of the request was sent
+  NoReply,     ///< sent, then failed or timed out before the first reply byte
+  BrokenReply, ///< failed or timed out within the reply
 };
 
 struct ClientOutcome
@@ -48,14 +48,14 @@
   int m_status = 0;
   bool m_timedOut = false;
   std::string m_detail;
-  std::string m_etag; ///< of the reply, if it had one
+  std::string m_etag; ///< of the reply; empty if absent
 };
 
-/// @brief What the sender of a request is told. All calls come on the loop.
+/// @brief Callbacks of a request. They run on the loop.
 struct ClientEvents
 {
   std::function<void(int aStatus)> m_onStatus;
-  /// The whole head of a final (not 1xx) reply, before any of its body.
+  /// Receives status and headers of a final (not 1xx) reply, before any of its body.
   std::function<void(int aStatus, const Headers& aHeaders)> m_onHead;
   std::function<void(std::string_view aPiece)> m_onData;
   std::function<void(const ClientOutcome&)> m_onEnd;
@@ -63,18 +63,18 @@
 
 using CallId = std::uint64_t;
 
-/// @brief Sends requests from one loop (libcurl's multi interface).
+/// @brief Sends HTTP requests on one event loop (libcurl's multi interface).
 class HttpClient
 {
 public:
   static std::unique_ptr<HttpClient> Create(Loop& aLoop);
   virtual ~HttpClient() = default;
   virtual CallId Start(ClientRequest aRequest, ClientEvents aEvents) = 0;
-  /// @brief Drops a request; none of its events come any more.
+  /// @brief Cancels a request. None of its callbacks runs afterwards.
   virtual void Cancel(CallId aCall) = 0;
-  /// @brief Bytes of requests and replies so far, headers included.
+  /// @brief Bytes of all finished requests and their replies, headers included.
   [[nodiscard]] virtual std::uint64_t BytesTransferred() const = 0;
-  /// @brief Sends a request and hands over the whole reply.
+  /// @brief Sends a request and collects the body of the reply.
   CallId Fetch(ClientRequest aRequest,
                std::function<void(const ClientOutcome&, std::string aBody)> aDone);
 };
--- a/include/ferrytray/net/http_server.hpp
+++ b/include/ferrytray/net/http_server.hpp
@@ -17,42 +17,42 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-/// @brief A request as it arrived.
+/// @brief A received HTTP request.
 struct HttpRequest
 {
   std::string m_method;
-  std::string m_target; ///< path and query exactly as they arrived
+  std::string m_target; ///< path and query exactly as received
   std::string m_path;
   std::string m_query;
   Headers m_headers;
   std::string m_body;
 
-  /// @brief The first header of that name, compared without case; empty if absent.
+  /// @brief The first header of that name, compared case-insensitively; empty if absent.
   [[nodiscard]] std::string_view Header(std::string_view aName) const;
-  /// @brief Bytes of all header names and values.
+  /// @brief Total bytes of all header names and values.
   [[nodiscard]] std::size_t HeaderBytes() const;
-  /// @brief A query parameter, percent-decoded by the server; empty if absent.
+  /// @brief A query parameter, percent-decoded; empty if absent.
   [[nodiscard]] std::string QueryValue(std::string_view aName) const;
 };
 
-/// @brief The answer to one request, whole or in pieces.
+/// @brief The reply to one request, sent whole or streamed.
 class HttpReply
 {
 public:
   virtual ~HttpReply() = default;
-  /// @brief Sends a whole answer.
+  /// @brief Sends a whole reply.
   virtual void Send(int aStatus, const Headers& aHeaders, std::string aBody) = 0;
-  /// @brief Begins an answer in pieces (chunked).
+  /// @brief Starts a streamed reply (chunked transfer encoding).
   virtual void StartStream(int aStatus, const Headers& aHeaders) = 0;
   virtual void Write(std::string aPiece) = 0;
   virtual void Finish() = 0;
-  /// @brief Breaks an answer off: the connection closes and what was sent does not look whole.
+  /// @brief Aborts a reply: closes the connection, so that the caller sees it as incomplete.
   virtual void Abort() = 0;
-  /// @brief Closes the connection after this answer. Call before the answer begins.
+  /// @brief Closes the connection after this reply. Must be called before the reply starts.
   virtual void CloseAfterReply() = 0;
-  /// @brief Bytes handed to Write() that the connection has not taken yet.
+  /// @brief Bytes passed to Write() and not yet written to the connection.
   [[nodiscard]] virtual std::size_t PendingBytes() const = 0;
-  /// @brief Calls when the caller goes away before the answer is finished.
+  /// @brief Sets a callback that runs if the caller disconnects before the reply is finished.
   virtual void OnClosed(std::function<void()> aCall) = 0;
 };
 
@@ -69,7 +69,7 @@
   base::Duration m_replyTimeout = std::chrono::hours(1);
 };
 
-/// @brief Counters of what never became a request.
+/// @brief Counters of connections, also of those closed before their first request.
 struct HttpServerCounters
 {
   std::uint64_t m_accepted = 0;
@@ -77,21 +77,21 @@
   std::uint64_t m_closedBeforeRequest = 0;
 };
 
-/// @brief An HTTP/1.1 server on one loop (RESTinio).
+/// @brief An HTTP/1.1 server on one event loop (RESTinio).
 class HttpServer
 {
 public:
-  /// @brief Binds and starts. @return ListenFailed when the address cannot be bound
+  /// @brief Binds and starts. @return ListenFailed if the address cannot be bound
   static base::Result<std::unique_ptr<HttpServer>> Create(Loop& aLoop,
                                                           const HttpServerOptions& aOptions,
                                                           HttpHandler aHandler);
   virtual ~HttpServer() = default;
-  /// @brief The address it listens on, with the real port when 0 was asked for.
+  /// @brief The bound address, with the port that the system chose if 0 was requested.
   [[nodiscard]] virtual Address ListenAddress() const = 0;
   [[nodiscard]] virtual HttpServerCounters Counters() const = 0;
-  /// @brief Requests whose answers have not been written whole.
+  /// @brief Number of requests whose replies have not been fully written.
   [[nodiscard]] virtual std::size_t PendingRequests() const = 0;
-  /// @brief Closes every connection on which no request is being answered.
+  /// @brief Closes every connection without a pending request.
   virtual void CloseIdle() = 0;
 };
 
--- a/include/ferrytray/net/loop.hpp
+++ b/include/ferrytray/net/loop.hpp
@@ -9,18 +9,18 @@
 
 class LoopImpl;
 
-/// @brief Stops a delayed call when it is destroyed or cancelled.
+/// @brief A scheduled call. Destroying the timer cancels it.
 class Timer
 {
 public:
   virtual ~Timer() = default;
-  /// @brief The call will not happen any more.
+  /// @brief Prevents all further calls.
   virtual void Cancel() = 0;
 };
 
 using TimerHandle = std::shared_ptr<Timer>;
 
-/// @brief One thread's event loop (Asio). Everything in this module belongs to one loop.
+/// @brief A single-threaded event loop (Asio). Every object of this module belongs to one loop.
 class Loop
 {
 public:
@@ -29,24 +29,24 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  /// @brief Runs until Stop().
+  /// @brief Runs until Stop() is called.
   void Run();
-  /// @brief Runs for a while; for tests that look on in between.
+  /// @brief Runs for a limited time; for tests that check state in between.
   void RunFor(base::Duration aSpan);
-  /// @brief Makes Run() return; safe from any thread.
+  /// @brief Makes Run() return; thread-safe.
   void Stop();
-  /// @brief Runs a call on the loop soon; safe from any thread.
+  /// @brief Queues a call on the loop; thread-safe.
   void Post(std::function<void()> aCall);
-  /// @brief Runs a call once after a delay.
+  /// @brief Schedules a single call after a delay.
   [[nodiscard]] TimerHandle After(base::Duration aDelay, std::function<void()> aCall);
-  /// @brief Runs a call again and again, the first time after one period.
+  /// @brief Schedules a periodic call, first after one period.
   [[nodiscard]] TimerHandle Every(base::Duration aPeriod, std::function<void()> aCall);
-  /// @brief Calls once on SIGTERM or SIGINT.
+  /// @brief Sets a callback for the first SIGTERM or SIGINT.
   void OnTerminate(std::function<void()> aCall);
-  /// @brief Calls on each SIGHUP.
+  /// @brief Sets a callback for every SIGHUP.
   void OnHangup(std::function<void()> aCall);
 
-  /// @brief For this module's own sources.
+  /// @brief For the sources of this module only.
   LoopImpl& Impl() { return *m_impl; }
 
 private:
--- a/src/ferrytray/net/curl_sockets.hpp
+++ b/src/ferrytray/net/curl_sockets.hpp
@@ -11,7 +11,7 @@
 
 struct WatchedSocket;
 
-/// Waits on the loop for the sockets that libcurl names, and tells it when they are ready.
+/// Waits on the event loop for the sockets that libcurl registers and reports when they are ready.
 class CurlSockets
 {
 public:
--- a/src/ferrytray/net/http_client.cpp
+++ b/src/ferrytray/net/http_client.cpp
@@ -21,7 +21,7 @@
 // Small, so that thousands of open streams fit in an entry host's memory.
 constexpr long kReceiveBufferBytes = 4096;
 constexpr long kMaxIdleConnections = 512;
-// Probes of a connection on which only the peer has something to send (seconds, count).
+// Keep-alive probes of a connection on which only the peer has data to send (seconds, count).
 constexpr int kKeepAliveIntervalSeconds = 1;
 constexpr int kKeepAliveProbes = 2;
 constexpr int kFirstFinalStatus = 200;
@@ -81,7 +81,7 @@
     const CallId id = call->m_id;
     m_calls.emplace(id, std::move(call));
     if (m_inCallback) {
-      // libcurl refuses new handles from within its own callback.
+      // libcurl rejects new handles inside its own callbacks.
       asio::post(m_context, [this, id] { AddToMulti(id); });
     } else {
       AddToMulti(id);
@@ -96,7 +96,7 @@
       return;
     }
     if (m_inCallback) {
-      // libcurl forbids removing a handle from within its own callback.
+      // libcurl forbids removing a handle inside its own callbacks.
       found->second->m_events = {};
       asio::post(m_context, [this, aCall] { Cancel(aCall); });
       return;
@@ -134,7 +134,7 @@
     for (const auto& [name, value] : aRequest.m_headers) {
       aCall.m_headerList = curl_slist_append(aCall.m_headerList, (name + ": " + value).c_str());
     }
-    // No "Expect: 100-continue": it would add a round trip to every larger prompt.
+    // Disables "Expect: 100-continue", which would add a round trip to every larger prompt.
     aCall.m_headerList = curl_slist_append(aCall.m_headerList, "Expect:");
     curl_easy_setopt(easy, CURLOPT_URL, aRequest.m_url.c_str());
     curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, aRequest.m_method.c_str());
@@ -229,7 +229,7 @@
   {
     long status = 0;
     curl_easy_getinfo(aCall.m_easy, CURLINFO_RESPONSE_CODE, &status);
-    // A chunked reply's trailer ends with an empty line, too.
+    // The trailer of a chunked reply also ends with an empty line.
     if (status < kFirstFinalStatus || aCall.m_headReported || !aCall.m_events.m_onHead) {
       return;
     }
@@ -239,7 +239,7 @@
     m_inCallback = false;
   }
 
-  /// Comes before each send, also before one that libcurl repeats by itself.
+  /// Called before every send, including a resend by libcurl itself.
   static int OnSend(void* aCall, char*, char*, int, int)
   {
     auto& call = *static_cast<Call*>(aCall);
@@ -359,7 +359,7 @@
     return outcome;
   }
 
-  // The body callback gets the call only; all clients of one thread run in turn.
+  // libcurl passes only the call to its callbacks. All clients of a thread share its event loop.
   static thread_local CurlClient* s_current;
 
   asio::io_context& m_context;
--- a/src/ferrytray/net/http_server.cpp
+++ b/src/ferrytray/net/http_server.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A caller that vanished without a word is noticed after some 10 s.
+// Detects a caller that vanished without closing the connection after about 10 s.
 using KeepAliveIdle = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
 using KeepAliveInterval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
 using KeepAliveProbes = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
@@ -22,7 +22,7 @@
 constexpr int kKeepAliveIntervalSeconds = 2;
 constexpr int kKeepAliveProbes = 3;
 
-/// Tells replies that their connection has closed.
+/// Counts connections and their pending requests, and notifies replies when theirs closes.
 class ConnectionTracker
 {
 public:
@@ -86,7 +86,7 @@
   struct Connection
   {
     bool m_receivedRequest = false;
-    std::uint32_t m_pendingRequests = 0; ///< seen and not answered
+    std::uint32_t m_pendingRequests = 0; ///< received, reply not fully written
     asio::ip::tcp::endpoint m_peer;
     std::function<void()> m_onClosed;
   };
@@ -226,7 +226,7 @@
     m_tracker->SetOnClosed(m_connection, nullptr);
   }
 
-  /// An answer counts as given once it is written: closing earlier would cut it.
+  /// The request stays pending until its reply is written: closing earlier would truncate it.
   std::function<void(const asio::error_code&)> WriteCompletionHandler()
   {
     return [tracker = m_tracker, connection = m_connection](const auto&) {
@@ -301,7 +301,7 @@
       .read_next_http_message_timelimit(aOptions.m_readTimeout)
       .handle_request_timeout(aOptions.m_replyTimeout)
       .write_http_response_timelimit(aOptions.m_readTimeout)
-      // Reading on while a request is handled is what notices a caller that leaves.
+      // Reading on while a request is handled detects a caller that disconnects.
       .max_pipelined_requests(2)
       .buffer_size(2U << 10U)
       .connection_state_listener(m_tracker)
--- a/src/ferrytray/net/http_server_test.cpp
+++ b/src/ferrytray/net/http_server_test.cpp
@@ -91,9 +91,9 @@
   int seen = 0;
   StartServer([&](const net::HttpRequest&, const std::shared_ptr<net::HttpReply>& aReply) {
     if (++seen == 1) {
-      aReply->Send(200, {}, ""); // the connection is kept
+      aReply->Send(200, {}, ""); // the connection is kept alive
     } else {
-      aReply->Abort(); // read and closed without a reply: libcurl would send it again
+      aReply->Abort(); // closed without a reply: libcurl would resend the request
     }
   });
   net::ClientRequest request;
--- a/src/ferrytray/net/loop.cpp
+++ b/src/ferrytray/net/loop.cpp
@@ -51,7 +51,7 @@
   }
 
 private:
-  /// What fell due while the machine was suspended is noticed with the next event of the loop.
+  /// A timer that expires while the machine is suspended fires with the loop's next event.
   asio::basic_waitable_timer<base::ElapsedClock> m_timer;
   base::Duration m_period;
   bool m_repeat;
@@ -68,7 +68,7 @@
   return timer;
 }
 
-/// A stream takes two sockets; the usual soft limit of 1,024 would end a gate at 500.
+/// A stream takes two sockets, so the usual soft limit of 1,024 allows a gate only 500 streams.
 void RaiseFileDescriptorLimit()
 {
   rlimit limit{};
--- a/src/ferrytray/net/loop_impl.hpp
+++ b/src/ferrytray/net/loop_impl.hpp
@@ -5,7 +5,7 @@
 
 namespace ferrytray::net {
 
-/// Keeps Asio out of the public header.
+/// Holds the Asio objects of a Loop, to keep Asio out of the public header.
 class LoopImpl
 {
 public:
--- a/src/ferrytray/net/tracked_socket.hpp
+++ b/src/ferrytray/net/tracked_socket.hpp
@@ -8,10 +8,10 @@
 
 namespace ferrytray::net {
 
-/// An accepted socket that can be found by its peer's address while it is open.
+/// An accepted socket that is registered under its peer's address while it is open.
 ///
-/// RESTinio offers no way to break off an answer that has begun; shutting the socket down does it,
-/// and RESTinio then closes the connection as if the caller had gone.
+/// RESTinio cannot abort a reply that has started. Shutting the socket down does it: RESTinio then
+/// closes the connection as if the caller had disconnected.
 class TrackedSocket : public asio::ip::tcp::socket
 {
 public:
@@ -47,7 +47,7 @@
     Base::close();
   }
 
-  /// Ends the connection of that peer in both directions. @return false when there is none
+  /// Shuts down the peer's connection in both directions. @return false if there is none
   static bool Shutdown(const asio::ip::tcp::endpoint& aPeer)
   {
     const auto found = OpenSockets().find(aPeer);
@@ -55,7 +55,7 @@
   }
 
 private:
-  // All servers of a thread run in turn on its loop.
+  // Needs no lock: all servers of a thread share its event loop.
   static std::map<asio::ip::tcp::endpoint, int>& OpenSockets()
   {
     static thread_local std::map<asio::ip::tcp::endpoint, int> openSockets;
