--- a/include/ferrytray/base/denial_age.hpp
+++ b/include/ferrytray/base/denial_age.hpp
@@ -6,12 +6,12 @@
 
 namespace ferrytray::base {
 
-/// @brief How old what a process follows may be for it to deny a caller something by that.
+/// @brief The maximum age of followed data that a process may use to deny a caller something.
 ///
-/// Whatever was acknowledged before the follower's last answered read was begun is known. So what
-/// it denies is right as long as that read is no older than the bound within which a change is in
-/// force; a tenth of the bound is left for clocks that run apart.
-/// @param aPropagationBound that bound
+/// A follower knows every change that was acknowledged before its last answered read began. A
+/// denial is thus correct while that read is no older than the bound within which changes take
+/// effect; a tenth of the bound is reserved for clock drift.
+/// @param aPropagationBound the time within which a change takes effect
 constexpr Duration ToMaxDenialAge(Duration aPropagationBound)
 {
   constexpr int kUsablePercent = 90;
@@ -19,7 +19,7 @@
   return aPropagationBound * kUsablePercent / kPercent;
 }
 
-/// @brief Whether something newer may be in force. @param aLastReadAt unset: nothing was heard yet
+/// @brief Whether a newer change may be in effect. @param aLastReadAt unset: nothing was read yet
 inline bool MayBeBehind(std::optional<TimePoint> aLastReadAt,
                         Duration aMaxDenialAge,
                         TimePoint aNow)
--- a/include/ferrytray/base/digest.hpp
+++ b/include/ferrytray/base/digest.hpp
@@ -9,7 +9,7 @@
 
 namespace ferrytray::base {
 
-/// @brief A 128-bit name made by hashing (xxHash XXH3).
+/// @brief A 128-bit hash (xxHash XXH3) that serves as an identifier.
 struct Digest128
 {
   std::uint64_t m_high = 0;
@@ -17,24 +17,24 @@
   auto operator<=>(const Digest128&) const = default;
 };
 
-/// @brief For unordered containers; the digest is already well mixed.
+/// @brief Hash for unordered containers; the digest's bits are already uniformly distributed.
 struct DigestHash
 {
   std::size_t operator()(const Digest128& aDigest) const { return aDigest.m_low; }
 };
 
 /// @brief Hashes bytes together with a seed digest.
-/// @param aSeed what the name depends on besides the bytes
-/// @param aBytes the bytes
+/// @param aSeed input of the digest besides the bytes
+/// @param aBytes the bytes to hash
 Digest128 HashWithSeed(const Digest128& aSeed, std::string_view aBytes);
 
 /// @brief A 64-bit hash of two strings; the order matters.
 std::uint64_t Hash64(std::string_view aFirst, std::string_view aSecond);
 
-/// @brief 32 lower-case hexadecimal digits.
+/// @brief Formats a digest as 32 lower-case hexadecimal digits.
 std::string ToHex(const Digest128& aDigest);
 
-/// @brief Reads what ToHex wrote; empty when it is anything else.
+/// @brief Parses the output of ToHex; empty for any other text.
 std::optional<Digest128> DigestFromHex(std::string_view aText);
 
 /// @brief SHA-256 as 64 lower-case hexadecimal digits; used for caller keys.
--- a/include/ferrytray/base/error.hpp
+++ b/include/ferrytray/base/error.hpp
@@ -10,7 +10,7 @@
 
 namespace ferrytray::base {
 
-/// @brief Numbered result codes. docs/ERRORS.md holds the same table for callers.
+/// @brief Numbered error codes. docs/ERRORS.md documents them for callers.
 enum class ErrorCode : std::uint16_t
 {
   MalformedJson = 1001,
@@ -70,37 +70,37 @@
   PeerMalformed = 8005,
 };
 
-/// @brief Whether a request has run, as far as the system can truthfully say.
+/// @brief Whether a request has run, as far as the system can know.
 enum class RunState : std::uint8_t
 {
   NotRun,  ///< no byte reached an endpoint, or the endpoint refused before starting
   Unknown, ///< it may have run
 };
 
-/// @brief The word used for a run state in answers: "not_run" or "unknown".
+/// @brief The name of a run state in replies: "not_run" or "unknown".
 std::string_view ToString(RunState aState);
 
-/// @brief The HTTP status that goes with a result code.
-/// @param aCode any result code
+/// @brief The HTTP status for an error code.
+/// @param aCode any error code
 /// @return a status from 400 to 599
 int HttpStatus(ErrorCode aCode);
 
-/// @brief An error on its way to a caller or an operator.
+/// @brief An error to report to a caller or an operator.
 struct Failure
 {
   ErrorCode m_code = ErrorCode::NotReady;
   std::string m_message;
   RunState m_run = RunState::NotRun;
-  Duration m_retryAfter{}; ///< zero: no advice on when to come back
+  Duration m_retryAfter{}; ///< zero: no advice on when to retry
 };
 
 /// @brief A value or a Failure.
 template<typename T>
 using Result = tl::expected<T, Failure>;
 
-/// @brief Builds the error side of a Result whose request has not run.
-/// @param aCode the numbered result code
-/// @param aMessage a sentence for a person
+/// @brief Builds the error of a Result for a request that has not run.
+/// @param aCode the numbered error code
+/// @param aMessage a human-readable sentence
 ///
 /// @code
 /// return base::Fail(base::ErrorCode::MissingField, "field 'model' is missing");
--- a/include/ferrytray/base/time.hpp
+++ b/include/ferrytray/base/time.hpp
@@ -4,16 +4,16 @@
 
 namespace ferrytray::base {
 
-/// @brief All spans of time are whole microseconds.
+/// @brief All durations are whole microseconds.
 using Duration = std::chrono::microseconds;
 
-/// @brief Time since the machine started, with the time in which it was suspended.
+/// @brief Time since the machine booted, including the time in which it was suspended.
 ///
-/// The steady clock stands still while the machine is suspended: by it, a lease that ran out
-/// meanwhile would be held and what was heard before would be fresh.
+/// The steady clock stops while the machine is suspended: by it, a lease that expired meanwhile
+/// would still be held and data received before the suspension would count as fresh.
 struct ElapsedClock
 {
-  // NOLINTBEGIN(readability-identifier-naming): the names that clocks have in the standard library
+  // NOLINTBEGIN(readability-identifier-naming): names required by the standard Clock requirements
   using duration = Duration;
   using rep = duration::rep;
   using period = duration::period;
@@ -23,25 +23,25 @@
   // NOLINTEND(readability-identifier-naming)
 };
 
-/// @brief A point on the monotonic clock. Decision parts are given it, never read it.
+/// @brief A point on the monotonic clock. Decision logic takes it as an argument, never reads it.
 using TimePoint = ElapsedClock::time_point;
 
 /// @brief Reads the monotonic clock. For daemons only.
 TimePoint MonotonicNow();
 
-/// @brief A span as fractional seconds.
+/// @brief Converts a duration to fractional seconds.
 inline double Seconds(Duration aSpan)
 {
   return std::chrono::duration<double>(aSpan).count();
 }
 
-/// @brief A span as whole milliseconds, rounded down.
+/// @brief Converts a duration to whole milliseconds, truncated.
 inline long ToMillis(Duration aSpan)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(aSpan).count();
 }
 
-/// @brief Fractional seconds as a span, rounded down to a microsecond.
+/// @brief Converts fractional seconds to a duration, truncated to microseconds.
 inline Duration FromSeconds(double aSeconds)
 {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(aSeconds));
