--- a/include/ferrytray/experiment/model.hpp
+++ b/include/ferrytray/experiment/model.hpp
@@ -9,19 +9,19 @@
 
 namespace ferrytray::experiment {
 
-/// @brief What is wrong during a run.
+/// @brief The fault injected into a run.
 enum class Fault : std::uint8_t
 {
   None,
-  SlowWorker,    ///< one engine ten times slower, unknown to the estimator's speed
-  StoreDead,     ///< one of the stores gone
-  LinkAtTenth,   ///< one store's link at a tenth of its speed
-  ThreeSwapping, ///< three engines take no work for a while, again and again
-  ZoneGone,      ///< a third of the engines gone for a third of the time
-  BlindReports,  ///< load reports stop coming
+  SlowWorker,    ///< one engine is ten times slower, which its reports show
+  StoreDead,     ///< one store fails for good
+  LinkAtTenth,   ///< one store's link drops to a tenth of its speed
+  ThreeSwapping, ///< three engines at a time repeatedly take no work for a while
+  ZoneGone,      ///< a third of the engines is down for a third of the run
+  BlindReports,  ///< no load reports arrive after the first fifth of the run
 };
 
-/// @brief A fault's short name.
+/// @brief The name of a fault in tables and JSON output.
 std::string NameOf(Fault aFault);
 
 struct ModelOptions
@@ -34,38 +34,38 @@
   double m_bytesPerBlock = 33554432;
   double m_linkBytesPerSecond = 4e9;
   double m_diskBytesPerSecond = 1e9;
-  std::uint32_t m_cacheBlocks = 400;        ///< of one worker's memory
+  std::uint32_t m_cacheBlocks = 400;        ///< capacity of one worker's memory
   std::uint32_t m_storeMemoryBlocks = 4000; ///< of one store
   std::uint32_t m_storeDiskBlocks = 12000;
   double m_reportLag = 0; ///< seconds
   Fault m_fault = Fault::None;
   EvictionRule m_evictionRule = EvictionRule::LeastValuable;
-  bool m_exportsYieldToImports =
-    true; ///< exports move block by block while no import wants the link
+  bool m_exportsYieldToImports = true; ///< exports run block by block while no import uses the link
   std::uint64_t m_seed = 1;
 };
 
-/// @brief What one run measured.
+/// @brief The results of one run.
 struct Outcome
 {
   std::vector<double> m_timesToFirstToken; ///< seconds, one for each arrival, sorted
-  double m_recomputedShare = 0;            ///< of the context tokens that had been computed before
+  double m_recomputedShare = 0; ///< share of returning context tokens that are computed again
   double m_linkBytes = 0;
-  double m_linkUse = 0; ///< busy share of the links
+  double m_linkUse = 0; ///< mean share of time in which the links are busy
 
-  /// @param aShare such as 0.95
+  /// @param aShare the quantile of the time to first token, such as 0.95
   [[nodiscard]] double Quantile(double aShare) const;
 };
 
-/// @brief Plays a trace against simple queues of engines, links and stores.
+/// @brief Simulates a trace with queue models of engines, links and stores.
 ///
-/// The policy's own parts are the ones that the daemons use; engines, links and stores are
-/// queues. Prefill is served one at a time; decoding is left out.
+/// The routing and retention code is the one that the daemons use. A worker computes one prefill
+/// at a time; decoding is not modelled.
 Outcome Simulate(const std::vector<Arrival>& aTrace,
                  const Policy& aPolicy,
                  const ModelOptions& aOptions);
 
-/// @brief The lowest mean time to first token of any assignment, for traces of a few arrivals.
+/// @brief The lowest mean time to first token of all assignments; only for traces of a few
+/// arrivals.
 double OfflineBestMean(const std::vector<Arrival>& aTrace, const ModelOptions& aOptions);
 
 } // namespace ferrytray::experiment
--- a/include/ferrytray/experiment/policy.hpp
+++ b/include/ferrytray/experiment/policy.hpp
@@ -8,28 +8,28 @@
 
 namespace ferrytray::experiment {
 
-/// @brief The project's own choice.
+/// @brief The cost estimate that the daemons use.
 struct EstimatedCost
 {
   routing::CostWeights m_weights;
 };
-/// @brief Naive: workers in turn, context from their memory or computed.
+/// @brief Baseline: workers in turn; a context is in their memory or computed.
 struct RoundRobin
 {
 };
-/// @brief Naive: the least reported load, context from its memory or computed.
+/// @brief Baseline: the least reported load; a context is in that worker's memory or computed.
 struct LeastLoad
 {
 };
-/// @brief Naive: the context's home worker, whatever its queue.
+/// @brief Baseline: the context's home worker, regardless of its queue.
 struct AffinityHash
 {
 };
-/// @brief The project's choice, but nothing is ever imported.
+/// @brief The daemons' cost estimate without imports.
 struct AlwaysRecompute
 {
 };
-/// @brief The least reported load, and all that is stored is imported.
+/// @brief Baseline: the least reported load; every stored block is imported.
 struct AlwaysRestore
 {
 };
@@ -37,14 +37,14 @@
 using Policy =
   std::variant<EstimatedCost, RoundRobin, LeastLoad, AffinityHash, AlwaysRecompute, AlwaysRestore>;
 
-/// @brief A policy's short name for tables.
+/// @brief The name of a policy in tables and JSON output.
 std::string NameOf(const Policy& aPolicy);
 
-/// @brief Which contexts a store keeps when it is full.
+/// @brief Which contexts a full store demotes or evicts first.
 enum class EvictionRule : std::uint8_t
 {
-  LeastValuable,     ///< routing::RetentionValue
-  LeastRecentlyUsed, ///< naive twin
+  LeastValuable,     ///< lowest routing::RetentionValue
+  LeastRecentlyUsed, ///< baseline
 };
 
 } // namespace ferrytray::experiment
--- a/src/ferrytray/experiment/model.cpp
+++ b/src/ferrytray/experiment/model.cpp
@@ -25,7 +25,7 @@
 
   Placement Place(Simulation& aSim, std::size_t, const RoundRobin&)
   {
-    // Each gate has its own turn: gates that share one would be coordinated.
+    // Each gate has its own counter: a shared one would coordinate the gates.
     return { m_turns[aSim.Gate()]++ % aSim.Workers(), 0 };
   }
 
@@ -118,7 +118,7 @@
 
 double OfflineBestMean(const std::vector<Arrival>& aTrace, const ModelOptions& aOptions)
 {
-  // Every worker, with and without a full import, for every arrival.
+  // Tries every worker, with and without a full import, for every arrival.
   const std::size_t options = aOptions.m_workers * 2;
   std::size_t combinations = 1;
   for (std::size_t i = 0; i < aTrace.size(); ++i) {
--- a/src/ferrytray/experiment/queues.hpp
+++ b/src/ferrytray/experiment/queues.hpp
@@ -14,7 +14,7 @@
 
 namespace ferrytray::experiment {
 
-/// A worker's memory: contexts, least recently used out first.
+/// A worker's memory: an LRU cache of contexts.
 class ContextCache
 {
 public:
@@ -38,7 +38,7 @@
   std::unordered_map<std::uint32_t, Entry> m_entries;
 };
 
-/// A store of kept contexts with two tiers and one link.
+/// A store of contexts with a memory tier, a disk tier and one link.
 class StoreModel
 {
 public:
@@ -50,25 +50,25 @@
   {
   }
 
-  /// The blocks kept of a context.
+  /// The number of stored blocks of a context.
   [[nodiscard]] std::uint32_t Blocks(std::uint32_t aContext) const;
-  /// Bytes a second at which a context would come.
+  /// The speed of importing a context.
   [[nodiscard]] double BytesPerSecond(std::uint32_t aContext) const;
   [[nodiscard]] double LinkFreeAt() const { return m_linkFreeAt; }
-  /// Books a transfer. @return when it ends
+  /// Schedules a transfer on the link. @return when it ends
   double ScheduleTransfer(double aBytes, double aSpeed, double aNow);
   void Touch(std::uint32_t aContext, double aNow);
-  /// Queues an export. It is moved block by block while no import wants the link.
+  /// Queues an export, which runs block by block while no import uses the link.
   void QueueExport(std::uint32_t aContext,
                    std::uint32_t aAccount,
                    std::uint32_t aBlocks,
                    double aNow);
-  /// Moves queued exports in the link's idle time up to now.
+  /// Runs queued exports in the link's idle time up to now.
   void AdvanceExports(double aNow);
   [[nodiscard]] bool IsQueued(std::uint32_t aContext) const;
-  /// Keeps a context, displacing what is worth least.
+  /// Stores a context, demoting and evicting the least valuable ones.
   void Store(std::uint32_t aContext, std::uint32_t aAccount, std::uint32_t aBlocks, double aNow);
-  /// Whether keeping it is worth the transfer.
+  /// Whether storing a context is worth its transfer.
   [[nodiscard]] bool IsWorthExporting(std::uint32_t aAccount,
                                       std::uint32_t aBlocks,
                                       double aNow) const;
@@ -112,17 +112,17 @@
   bool m_failed = false;
 };
 
-/// A request on its way through a worker.
+/// A request that waits for or runs on a worker.
 struct Job
 {
   std::size_t m_index = 0;
   double m_arrivedAt = 0;
-  double m_readyAt = 0;               ///< its import is there
-  std::uint32_t m_importedBlocks = 0; ///< prefix known after the import
-  double m_expectedSeconds = 0;       ///< engine seconds, as estimated
+  double m_readyAt = 0;               ///< when its import is complete
+  std::uint32_t m_importedBlocks = 0; ///< prefix blocks present after the import
+  double m_expectedSeconds = 0;       ///< estimated engine time
 };
 
-/// A worker: one prefill at a time, the earliest arrival whose import is there first.
+/// A worker that runs one prefill at a time: the earliest arrival whose import is complete.
 struct WorkerModel
 {
   explicit WorkerModel(std::uint32_t aCacheBlocks)
@@ -132,7 +132,7 @@
   ContextCache m_cache;
   std::vector<Job> m_waiting;
   double m_busyUntil = 0;
-  double m_blockedUntil = 0; ///< swapping or gone
+  double m_blockedUntil = 0; ///< swapping weights or down
   double m_slowness = 1;
   bool m_busy = false;
 };
--- a/src/ferrytray/experiment/simulation.hpp
+++ b/src/ferrytray/experiment/simulation.hpp
@@ -16,11 +16,11 @@
 
 namespace ferrytray::experiment {
 
-inline constexpr double kReportIntervalSeconds = 0.2; // seconds
+inline constexpr double kReportIntervalSeconds = 0.2;
 inline constexpr double kNever = 1e18;
-inline constexpr double kImportRoundTripSeconds = 0.002; // seconds
+inline constexpr double kImportRoundTripSeconds = 0.002;
 
-/// What a gate has sent and not yet seen answered.
+/// A request that a gate has sent and that has no first token yet.
 struct OutstandingRequest
 {
   double m_at;
@@ -28,7 +28,7 @@
   std::size_t m_index;
 };
 
-/// A decision: where, and how many blocks come from the store.
+/// A placement decision: the worker, and the number of blocks to import from the store.
 struct Placement
 {
   std::size_t m_worker = 0;
@@ -65,7 +65,7 @@
     m_seconds = aTrace.empty() ? 1 : aTrace.back().m_at;
   }
 
-  /// @param aPlace decides for one arrival
+  /// @param aPlace returns the Placement of one arrival
   template<typename Place>
   Outcome Run(Place aPlace)
   {
@@ -85,7 +85,7 @@
     return Finish();
   }
 
-  // --- what policies may see ---------------------------------------------------------------
+  // --- state visible to policies -----------------------------------------------------------
 
   [[nodiscard]] const Arrival& ArrivalAt(std::size_t aIndex) const { return m_trace[aIndex]; }
   [[nodiscard]] const ModelOptions& Options() const { return m_options; }
@@ -219,7 +219,8 @@
     }
     m_lastSeen[aArrival.m_context] = aArrival.m_at;
     m_recentContexts.push_back({ aArrival.m_context, aArrival.m_account, aArrival.m_at });
-    // A context not seen again for a while counts as gone, as the gate's bounded table does.
+    // A context that does not return in time counts as not returned, as in the gate's bounded
+    // table.
     while (!m_recentContexts.empty() &&
            m_now - m_recentContexts.front().m_at > kForgetAfterSeconds) {
       const RecentContext old = m_recentContexts.front();
--- a/src/ferrytray/experiment/trace.cpp
+++ b/src/ferrytray/experiment/trace.cpp
@@ -14,15 +14,15 @@
 constexpr double kBurstLength = 0.1;
 constexpr double kBurstFactor = 1.8;
 
-/// What one kind of traffic looks like.
+/// The parameters of one traffic mix.
 struct TrafficShape
 {
-  double m_shortShare; ///< of sessions: a lookup or an excerpt without returns
+  double m_shortShare; ///< share of sessions that are a lookup or excerpt without returns
   std::uint32_t m_minBlocks;
   std::uint32_t m_maxBlocks;
-  double m_meanReturns;      ///< mean returns of a session whose account comes back
-  double m_gapMedianSeconds; ///< seconds of scaled time
-  double m_gapSigma;         ///< of the gap's logarithm
+  double m_meanReturns;      ///< mean returns of a session of an account that returns
+  double m_gapMedianSeconds; ///< in scaled time
+  double m_gapSigma;         ///< standard deviation of the gap's logarithm
   bool m_burst;
 };
 
@@ -71,10 +71,10 @@
 private:
   double Uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
 
-  /// Every third account's users do not come back.
+  /// The users of every third account do not return.
   static bool HasReturningUsers(std::uint32_t aAccount) { return aAccount % 3 != 2; }
 
-  /// Sessions a second such that computing everything takes the wanted share of the engines.
+  /// Sessions per second at which computing everything takes m_load of the engines' capacity.
   double SessionRate()
   {
     const double meanBlocks = (m_shape.m_minBlocks + m_shape.m_maxBlocks) / 2.0;
