--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -8,7 +8,7 @@
 #include <random>     // for mt19937_64
 #include <string>     // for string
 
-#include "ferrytray/base/denial_age.hpp"           // for MayBeBehind
+#include "ferrytray/base/known_age.hpp"            // for MayBeBehind
 #include "ferrytray/base/time.hpp"                 // for TimePoint
 #include "ferrytray/cache/part_planner.hpp"        // for PartPlanner, Stores
 #include "ferrytray/fleet/configuration_index.hpp" // for ConfigurationPtr
--- a/src/ferrytray/relay/feed_options.cpp
+++ b/src/ferrytray/relay/feed_options.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm> // for min
 
-#include "ferrytray/base/denial_age.hpp" // for ToMaxDenialAge
+#include "ferrytray/base/known_age.hpp" // for ToMaxDenialAge
 
 namespace ferrytray::relay {
 
--- a/tests/suspension_test.cpp
+++ b/tests/suspension_test.cpp
@@ -8,7 +8,7 @@
 #include <sys/syscall.h> // for SYS_clock_gettime
 #include <unistd.h>      // for syscall
 
-#include "ferrytray/base/denial_age.hpp"     // for MayBeBehind
+#include "ferrytray/base/known_age.hpp"      // for MayBeBehind
 #include "ferrytray/base/time.hpp"           // for MonotonicNow
 #include "ferrytray/control/order_lease.hpp" // for OrderLease
 #include "ferrytray/net/loop.hpp"            // for Loop
