--- a/src/ferrytray/gate/engine_attempt.cpp
+++ b/src/ferrytray/gate/engine_attempt.cpp
@@ -35,7 +35,7 @@
   request.m_headers = { { "Content-Type", "application/json" } };
   request.m_body = std::exchange(m_request.m_body, {});
   // A connection of its own, because libcurl resends requests on reused connections by itself.
-  request.m_ownConnection = true;
+  request.m_freshConnection = true;
   Send(std::move(request));
 }
 
--- a/src/ferrytray/gate/keeper_connection.cpp
+++ b/src/ferrytray/gate/keeper_connection.cpp
@@ -34,7 +34,7 @@
 
 void KeeperConnection::Connect()
 {
-  net::ConnectFrames(
+  net::ConnectFrameChannel(
     m_loop, m_options.m_keeper, [this](std::shared_ptr<net::FrameChannel> aChannel) {
       if (!aChannel) {
         m_reconnectTimer = m_loop.After(kReconnectDelay, [this] { Connect(); });
@@ -84,7 +84,7 @@
 bool KeeperConnection::MayBeBehind(base::TimePoint aNow) const
 {
   return base::MayBeBehind(
-    m_configKnownAt, base::DeniesWithin(m_options.m_maxConfigurationDelay), aNow);
+    m_configKnownAt, base::ToMaxDenialAge(m_options.m_maxConfigurationDelay), aNow);
 }
 
 void KeeperConnection::OnFrame(std::string_view aBytes)
--- a/src/ferrytray/gate/ticket_transfer.cpp
+++ b/src/ferrytray/gate/ticket_transfer.cpp
@@ -93,7 +93,7 @@
 void TicketTransfer::SendTo(const net::Address& aPeer)
 {
   m_retryTimer = m_core.m_loop.After(kRetryInterval, [this, aPeer] { SendTo(aPeer); });
-  net::ConnectFrames(
+  net::ConnectFrameChannel(
     m_core.m_loop, aPeer, [this](const std::shared_ptr<net::FrameChannel>& aChannel) {
       if (!aChannel) {
         return;
--- a/src/ferrytray/keeper/peer_catch_up.cpp
+++ b/src/ferrytray/keeper/peer_catch_up.cpp
@@ -45,7 +45,7 @@
 void PeerCatchUp::RequestState(const net::Address& aPeer, std::uint64_t aOwnPosition)
 {
   m_requestPending = true;
-  net::ConnectFrames(
+  net::ConnectFrameChannel(
     m_loop, aPeer, [this, aOwnPosition](const std::shared_ptr<net::FrameChannel>& aChannel) {
       if (!aChannel) {
         m_requestPending = false;
--- a/src/ferrytray/net/curl_sockets.hpp
+++ b/src/ferrytray/net/curl_sockets.hpp
@@ -11,7 +11,7 @@
 
 struct WatchedSocket;
 
-/// Waits on the loop for the sockets that libcurl names, and tells it when they are ready.
+/// Waits on the event loop for the sockets that libcurl registers and reports when they are ready.
 class CurlSockets
 {
 public:
@@ -22,8 +22,8 @@
   {
   }
 
-  /// @param aWhat one of libcurl's CURL_POLL_ values
-  void Watch(curl_socket_t aSocket, int aWhat);
+  /// @param aPollAction one of libcurl's CURL_POLL_ values
+  void Watch(curl_socket_t aSocket, int aPollAction);
 
 private:
   void Unwatch(curl_socket_t aSocket);
--- a/src/ferrytray/net/loop_impl.hpp
+++ b/src/ferrytray/net/loop_impl.hpp
@@ -5,13 +5,13 @@
 
 namespace ferrytray::net {
 
-/// Keeps Asio out of the public header.
+/// Holds the Asio objects of a Loop, to keep Asio out of the public header.
 class LoopImpl
 {
 public:
   asio::io_context m_context{ 1 };
-  asio::signal_set m_signals{ m_context };
-  asio::signal_set m_hangups{ m_context };
+  asio::signal_set m_terminationSignals{ m_context };
+  asio::signal_set m_hangupSignals{ m_context };
 };
 
 } // namespace ferrytray::net
--- a/src/ferrytray/relay/feed_options.cpp
+++ b/src/ferrytray/relay/feed_options.cpp
@@ -73,7 +73,7 @@
 
 base::Duration MaxDenialAge(const PropagationBounds& aBounds)
 {
-  return base::DeniesWithin(TightestOperatorBound(aBounds));
+  return base::ToMaxDenialAge(TightestOperatorBound(aBounds));
 }
 
 } // namespace ferrytray::relay
