--- a/tools/cli.hpp
+++ b/tools/cli.hpp
@@ -34,11 +34,11 @@
 void PrintProblems(const config::Problems& aProblems);
 
 /// One HTTP call, waited for.
-struct CallResult
+struct HttpResult
 {
   net::ClientOutcome m_outcome;
   std::string m_body;
 };
-CallResult Call(net::ClientRequest aRequest);
+HttpResult SendAndWait(net::ClientRequest aRequest);
 
 } // namespace ferrytray::cli
--- a/tools/cli_apply.cpp
+++ b/tools/cli_apply.cpp
@@ -17,10 +17,10 @@
 
 using nlohmann::json;
 
-constexpr const char* kStream = "config";
-constexpr base::Duration kPollEvery = std::chrono::milliseconds(100);
+constexpr const char* kConfigStream = "config";
+constexpr base::Duration kPollInterval = std::chrono::milliseconds(100);
 /// The log answers in milliseconds; a slow one is waited for.
-constexpr base::Duration kReadPatience = std::chrono::seconds(3);
+constexpr base::Duration kReadTimeout = std::chrono::seconds(3);
 
 /// The configuration stream as it stands now.
 struct StreamState
@@ -34,9 +34,9 @@
 {
   net::Loop loop;
   const auto http = net::HttpClient::Create(loop);
-  wire::LogClient log(*http, aSettings.Text("platform"), kStream);
+  wire::LogClient log(*http, aSettings.Text("platform"), kConfigStream);
   base::Result<wire::LogPage> result;
-  log.Read(aFrom, base::Duration::zero(), kReadPatience, [&](base::Result<wire::LogPage> aPage) {
+  log.Read(aFrom, base::Duration::zero(), kReadTimeout, [&](base::Result<wire::LogPage> aPage) {
     result = std::move(aPage);
     loop.Stop();
   });
@@ -73,7 +73,7 @@
 {
   net::Loop loop;
   const auto http = net::HttpClient::Create(loop);
-  wire::LogClient log(*http, aSettings.Text("platform"), kStream);
+  wire::LogClient log(*http, aSettings.Text("platform"), kConfigStream);
   base::Result<std::uint64_t> result;
   log.Append(replay::Encode(aFile), [&](base::Result<std::uint64_t> aOffset) {
     result = std::move(aOffset);
@@ -88,13 +88,13 @@
   std::cerr << "error " << static_cast<int>(aFailure.m_code) << ": " << aFailure.m_message << "\n";
 }
 
-std::vector<config::Document> DocumentsIn(const replay::ConfigReplay& aReplay,
-                                          const std::string& aBut)
+std::vector<config::Document> AcceptedDocuments(const replay::ConfigReplay& aReplay,
+                                                const std::string& aExcludedScope)
 {
   std::vector<config::Document> documents;
   for (const auto& [name, scope] : aReplay.Scopes()) {
     auto parsed = config::Parse(scope.m_body, name);
-    if (name != aBut && scope.m_acceptedOffset > 0 && parsed) {
+    if (name != aExcludedScope && scope.m_acceptedOffset > 0 && parsed) {
       documents.push_back(std::move(*parsed));
     }
   }
@@ -102,8 +102,8 @@
 }
 
 /// Finds one's own record in the stream, whatever became of the reply to its append.
-std::optional<std::pair<std::uint64_t, replay::ReplayOutcome>> FindOwn(const StreamState& aState,
-                                                                       const std::string& aId)
+std::optional<std::pair<std::uint64_t, replay::ReplayOutcome>> FindById(const StreamState& aState,
+                                                                        const std::string& aId)
 {
   for (std::size_t i = 0; i < aState.m_records.size(); ++i) {
     const auto* file = std::get_if<replay::FileRecord>(&aState.m_records[i].m_record);
@@ -115,54 +115,55 @@
 }
 
 /// How many hosts have an offset in force, and who has not.
-struct Spread
+struct RolloutProgress
 {
-  std::size_t m_inForce = 0;
-  std::size_t m_hosts = 0;
-  std::string m_behind;
+  std::size_t m_hostsInForce = 0;
+  std::size_t m_aliveHosts = 0;
+  std::string m_hostsBehind;
 };
 
-Spread ReadSpread(const settings::Settings& aSettings, std::uint64_t aOffset)
+RolloutProgress ReadRolloutProgress(const settings::Settings& aSettings, std::uint64_t aOffset)
 {
   net::ClientRequest request;
   request.m_url = aSettings.Text("keeper-http") + "/status";
-  const CallResult result = Call(std::move(request));
-  Spread spread;
+  const HttpResult result = SendAndWait(std::move(request));
+  RolloutProgress progress;
   const json status = json::parse(result.m_body, nullptr, false);
   if (!status.is_object()) {
-    return spread;
+    return progress;
   }
   for (const json& member : status.value("members", json::array())) {
     if (member.value("state", "") != "alive") {
       continue;
     }
-    ++spread.m_hosts;
+    ++progress.m_aliveHosts;
     if (member.value("position", std::uint64_t{ 0 }) >= aOffset) {
-      ++spread.m_inForce;
+      ++progress.m_hostsInForce;
     } else {
-      spread.m_behind += " " + member.value("host", "?");
+      progress.m_hostsBehind += " " + member.value("host", "?");
     }
   }
-  return spread;
+  return progress;
 }
 
-bool WaitInForce(const settings::Settings& aSettings, std::uint64_t aOffset)
+bool WaitUntilInForce(const settings::Settings& aSettings, std::uint64_t aOffset)
 {
   const base::TimePoint end = base::MonotonicNow() + aSettings.Millis("wait");
-  Spread spread;
+  RolloutProgress progress;
   while (base::MonotonicNow() < end) {
-    spread = ReadSpread(aSettings, aOffset);
-    if (spread.m_hosts > 0 && spread.m_inForce == spread.m_hosts) {
+    progress = ReadRolloutProgress(aSettings, aOffset);
+    if (progress.m_aliveHosts > 0 && progress.m_hostsInForce == progress.m_aliveHosts) {
       break;
     }
-    std::this_thread::sleep_until(std::chrono::steady_clock::now() + kPollEvery);
+    std::this_thread::sleep_until(std::chrono::steady_clock::now() + kPollInterval);
   }
-  std::cout << "in force on " << spread.m_inForce << " of " << spread.m_hosts << " hosts";
-  if (!spread.m_behind.empty()) {
-    std::cout << "; behind:" << spread.m_behind;
+  std::cout << "in force on " << progress.m_hostsInForce << " of " << progress.m_aliveHosts
+            << " hosts";
+  if (!progress.m_hostsBehind.empty()) {
+    std::cout << "; behind:" << progress.m_hostsBehind;
   }
   std::cout << "\n";
-  return spread.m_hosts > 0 && spread.m_inForce == spread.m_hosts;
+  return progress.m_aliveHosts > 0 && progress.m_hostsInForce == progress.m_aliveHosts;
 }
 
 ExitCode ApplyOne(const settings::Settings& aSettings, const LoadedFile& aFile)
@@ -173,8 +174,8 @@
     return settings::kExitFailed;
   }
   const std::string& scope = aFile.m_document.m_scope;
-  const auto problems =
-    config::CheckAcrossScopes(aFile.m_document, DocumentsIn(before->m_replay, scope), aFile.m_name);
+  const auto problems = config::CheckAcrossScopes(
+    aFile.m_document, AcceptedDocuments(before->m_replay, scope), aFile.m_name);
   if (!problems.empty()) {
     PrintProblems(problems);
     return settings::kExitFailed;
@@ -186,7 +187,7 @@
   };
   const auto appended = AppendFile(aSettings, record);
   const auto after = ReadStream(aSettings);
-  const auto own = after ? FindOwn(*after, record.m_id) : std::nullopt;
+  const auto own = after ? FindById(*after, record.m_id) : std::nullopt;
   if (!own) {
     const base::Failure unknown{
       base::ErrorCode::PlatformUnavailable,
@@ -204,7 +205,7 @@
     return settings::kExitFailed;
   }
   std::cout << aFile.m_name << ": accepted at offset " << own->first << "\n";
-  return WaitInForce(aSettings, own->first) ? settings::kExitOk : settings::kExitFailed;
+  return WaitUntilInForce(aSettings, own->first) ? settings::kExitOk : settings::kExitFailed;
 }
 
 } // namespace
--- a/tools/cli_main.cpp
+++ b/tools/cli_main.cpp
@@ -41,11 +41,11 @@
   return loaded;
 }
 
-CallResult Call(net::ClientRequest aRequest)
+HttpResult SendAndWait(net::ClientRequest aRequest)
 {
   net::Loop loop;
   const auto http = net::HttpClient::Create(loop);
-  CallResult result;
+  HttpResult result;
   http->Fetch(std::move(aRequest), [&](const net::ClientOutcome& aOutcome, std::string aBody) {
     result = { aOutcome, std::move(aBody) };
     loop.Stop();
@@ -79,36 +79,36 @@
 
 ExitCode RunCommand(const settings::Settings& aSettings)
 {
-  std::vector<std::string> words = aSettings.Arguments();
-  if (words.empty()) {
+  std::vector<std::string> arguments = aSettings.Arguments();
+  if (arguments.empty()) {
     std::cerr << "error: name a command; see --help\n";
     return settings::kExitBadSettings;
   }
-  const std::string command = words.front();
-  words.erase(words.begin());
+  const std::string command = arguments.front();
+  arguments.erase(arguments.begin());
   if (command == "validate") {
-    return Validate(aSettings, words);
+    return Validate(aSettings, arguments);
   }
   if (command == "diff") {
-    return Diff(aSettings, words);
+    return Diff(aSettings, arguments);
   }
   if (command == "apply") {
-    return Apply(aSettings, words);
+    return Apply(aSettings, arguments);
   }
   if (command == "status") {
     return Status(aSettings);
   }
-  if (command == "explain" && words.size() == 1) {
-    return Explain(aSettings, words.front());
+  if (command == "explain" && arguments.size() == 1) {
+    return Explain(aSettings, arguments.front());
   }
-  if (command == "summarize" && !words.empty()) {
-    return SummarizeLogs(words);
+  if (command == "summarize" && !arguments.empty()) {
+    return SummarizeLogs(arguments);
   }
-  if (command == "explain" && words.size() > 1) {
-    return ExplainFromLogs(words.front(), { words.begin() + 1, words.end() });
+  if (command == "explain" && arguments.size() > 1) {
+    return ExplainFromLogs(arguments.front(), { arguments.begin() + 1, arguments.end() });
   }
-  if (command == "drain" && words.size() == 1) {
-    return Drain(aSettings, words.front());
+  if (command == "drain" && arguments.size() == 1) {
+    return Drain(aSettings, arguments.front());
   }
   std::cerr << "error: unknown command or wrong number of words: '" << command << "'; see --help\n";
   return settings::kExitBadSettings;
--- a/tools/cli_status.cpp
+++ b/tools/cli_status.cpp
@@ -11,35 +11,37 @@
 
 using nlohmann::json;
 
-constexpr int kWide = 18;
-constexpr int kNarrow = 10;
+constexpr int kWideColumn = 18;
+constexpr int kNarrowColumn = 10;
 
 void PrintMembers(const json& aStatus)
 {
-  std::cout << std::left << std::setw(kWide) << "HOST" << std::setw(kNarrow) << "ZONE"
-            << std::setw(kNarrow) << "STATE" << std::setw(kNarrow) << "POSITION"
+  std::cout << std::left << std::setw(kWideColumn) << "HOST" << std::setw(kNarrowColumn) << "ZONE"
+            << std::setw(kNarrowColumn) << "STATE" << std::setw(kNarrowColumn) << "POSITION"
             << "GATE\n";
   for (const json& member : aStatus.at("members")) {
-    std::cout << std::setw(kWide) << member.at("host").get<std::string>() << std::setw(kNarrow)
-              << member.at("zone").get<std::string>() << std::setw(kNarrow)
-              << member.at("state").get<std::string>() << std::setw(kNarrow)
-              << member.at("position").get<std::uint64_t>() << member.at("gate").get<std::string>()
-              << "\n";
+    std::cout << std::setw(kWideColumn) << member.at("host").get<std::string>()
+              << std::setw(kNarrowColumn) << member.at("zone").get<std::string>()
+              << std::setw(kNarrowColumn) << member.at("state").get<std::string>()
+              << std::setw(kNarrowColumn) << member.at("position").get<std::uint64_t>()
+              << member.at("gate").get<std::string>() << "\n";
   }
 }
 
 void PrintEndpoints(const json& aStatus)
 {
   std::cout << "\n"
-            << std::setw(kWide) << "ENDPOINT" << std::setw(kWide) << "POOL" << std::setw(kNarrow)
-            << "ZONE" << std::setw(kNarrow) << "VERSION" << std::setw(kNarrow) << "QUEUE"
+            << std::setw(kWideColumn) << "ENDPOINT" << std::setw(kWideColumn) << "POOL"
+            << std::setw(kNarrowColumn) << "ZONE" << std::setw(kNarrowColumn) << "VERSION"
+            << std::setw(kNarrowColumn) << "QUEUE"
             << "STATE\n";
   for (const json& endpoint : aStatus.at("endpoints")) {
     const std::string queue = std::to_string(endpoint.at("queued_ms").get<std::uint64_t>()) + " ms";
-    std::cout << std::setw(kWide) << endpoint.at("name").get<std::string>() << std::setw(kWide)
-              << endpoint.at("pool").get<std::string>() << std::setw(kNarrow)
-              << endpoint.at("zone").get<std::string>() << std::setw(kNarrow)
-              << endpoint.at("version").get<std::string>() << std::setw(kNarrow) << queue
+    std::cout << std::setw(kWideColumn) << endpoint.at("name").get<std::string>()
+              << std::setw(kWideColumn) << endpoint.at("pool").get<std::string>()
+              << std::setw(kNarrowColumn) << endpoint.at("zone").get<std::string>()
+              << std::setw(kNarrowColumn) << endpoint.at("version").get<std::string>()
+              << std::setw(kNarrowColumn) << queue
               << (endpoint.at("leaving").get<bool>() ? "leaving" : "live") << "\n";
   }
 }
@@ -50,7 +52,7 @@
   net::ClientRequest request;
   request.m_method = aMethod;
   request.m_url = aUrl;
-  CallResult result = Call(std::move(request));
+  HttpResult result = SendAndWait(std::move(request));
   aBody = std::move(result.m_body);
   if (result.m_outcome.m_status != 200) {
     std::cerr << "error: " << aUrl << ": "
@@ -97,7 +99,7 @@
               << decision.at("fleet").get<std::string>() << ": "
               << decision.at("worker").get<std::string>() << "\n";
     for (const json& candidate : decision.at("candidates")) {
-      std::cout << "  " << std::left << std::setw(kWide)
+      std::cout << "  " << std::left << std::setw(kWideColumn)
                 << candidate.at("worker").get<std::string>();
       if (!candidate.at("considered").get<bool>()) {
         std::cout << "not considered\n";
--- a/tools/cli_story.cpp
+++ b/tools/cli_story.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// A collector that merges logs writes the host's name before each line.
-std::string LogOf(const std::string& aName, const std::string& aLine)
+std::string LogSource(const std::string& aName, const std::string& aLine)
 {
   const std::string prefix = aLine.substr(0, std::min(aLine.find("event="), aLine.size()));
   const std::size_t end = prefix.find_last_not_of(' ');
@@ -27,17 +27,17 @@
 
 /// Calls with each line and the log that it is from; "-" is standard input.
 /// @return false if one cannot be read, which is told
-template<typename Call>
-bool ForEachLine(const std::vector<std::string>& aLogs, const Call& aCall)
+template<typename OnLine>
+bool ForEachLine(const std::vector<std::string>& aLogs, const OnLine& aOnLine)
 {
-  const auto all = [&aCall](std::istream& aFrom, const std::string& aName) {
+  const auto readLines = [&aOnLine](std::istream& aFrom, const std::string& aName) {
     for (std::string line; std::getline(aFrom, line);) {
-      aCall(LogOf(aName, line), line);
+      aOnLine(LogSource(aName, line), line);
     }
   };
   for (const std::string& name : aLogs) {
     if (name == "-") {
-      all(std::cin, "standard input");
+      readLines(std::cin, "standard input");
       continue;
     }
     std::ifstream file(name);
@@ -46,15 +46,15 @@
                 << ": cannot read " << name << "\n";
       return false;
     }
-    all(file, name);
+    readLines(file, name);
   }
   return true;
 }
 
-ExitCode Print(const std::string& aText, const std::string& aWhenEmpty)
+ExitCode PrintOrFail(const std::string& aText, const std::string& aEmptyMessage)
 {
   if (aText.empty()) {
-    std::cerr << aWhenEmpty << "\n";
+    std::cerr << aEmptyMessage << "\n";
     return settings::kExitFailed;
   }
   std::cout << aText;
@@ -68,7 +68,7 @@
   telemetry::RequestStory story(aRequest);
   const bool read = ForEachLine(
     aLogs, [&](const std::string& aLog, const std::string& aLine) { story.Add(aLog, aLine); });
-  return read ? Print(story.Render(), "no line of these logs names request " + aRequest)
+  return read ? PrintOrFail(story.Render(), "no line of these logs names request " + aRequest)
               : settings::kExitFailed;
 }
 
@@ -77,7 +77,7 @@
   telemetry::LogSummary summary;
   const bool read =
     ForEachLine(aLogs, [&](const std::string&, const std::string& aLine) { summary.Add(aLine); });
-  return read ? Print(summary.Render(), "no request has ended in these logs")
+  return read ? PrintOrFail(summary.Render(), "no request has ended in these logs")
               : settings::kExitFailed;
 }
 
--- a/tools/daemon_settings.hpp
+++ b/tools/daemon_settings.hpp
@@ -43,7 +43,7 @@
 }
 
 /// Prints why the daemon cannot run. @return the exit code given
-inline int Refuse(const base::Failure& aFailure, int aExitCode)
+inline int ReportFailure(const base::Failure& aFailure, int aExitCode)
 {
   std::cerr << "error " << static_cast<int>(aFailure.m_code) << ": " << aFailure.m_message << "\n";
   return aExitCode;
@@ -52,26 +52,26 @@
 /// Runs a daemon until it was told to end and has left.
 /// @param aOptions a Result of what aCreate takes
 /// @param aCreate builds the daemon on a loop
-/// @param aAnnounce prints its addresses
-/// @param aLeave begins its planned stop and calls back when it may end
-template<typename Options, typename Create, typename Announce, typename Leave>
+/// @param aPrintAddresses prints its addresses
+/// @param aShutdown begins its planned stop and calls back when it may end
+template<typename Options, typename Create, typename PrintAddresses, typename Shutdown>
 int Run(const char* aProgram,
         const Options& aOptions,
         const Create& aCreate,
-        const Announce& aAnnounce,
-        const Leave& aLeave)
+        const PrintAddresses& aPrintAddresses,
+        const Shutdown& aShutdown)
 {
   if (!aOptions) {
-    return Refuse(aOptions.error(), settings::kExitBadSettings);
+    return ReportFailure(aOptions.error(), settings::kExitBadSettings);
   }
   telemetry::StartLogging(aProgram);
   net::Loop loop;
   const auto daemon = aCreate(loop, *aOptions);
   if (!daemon) {
-    return Refuse(daemon.error(), settings::kExitFailed);
+    return ReportFailure(daemon.error(), settings::kExitFailed);
   }
-  aAnnounce(**daemon);
-  loop.OnTerminate([&] { aLeave(**daemon, [&] { loop.Stop(); }); });
+  aPrintAddresses(**daemon);
+  loop.OnTerminate([&] { aShutdown(**daemon, [&] { loop.Stop(); }); });
   loop.Run();
   return settings::kExitOk;
 }
--- a/tools/load.hpp
+++ b/tools/load.hpp
@@ -21,13 +21,13 @@
 const std::vector<Command>& Commands();
 
 int Sweep(const settings::Settings& aSettings);
-int Faults(const settings::Settings& aSettings);
-int Small(const settings::Settings& aSettings);
+int FaultSweep(const settings::Settings& aSettings);
+int OfflineOptimum(const settings::Settings& aSettings);
 int Redundancy(const settings::Settings& aSettings);
-int Cost(const settings::Settings& aSettings);
-int Parts(const settings::Settings& aSettings);
-int Probe(const settings::Settings& aSettings);
-int Drive(const settings::Settings& aSettings);
+int DecisionCost(const settings::Settings& aSettings);
+int ComponentCosts(const settings::Settings& aSettings);
+int GateOverhead(const settings::Settings& aSettings);
+int DriveLoad(const settings::Settings& aSettings);
 
 /// Writes results where --json says, if it says so.
 inline void WriteJson(const settings::Settings& aSettings, const nlohmann::json& aRows)
--- a/tools/load_cost.cpp
+++ b/tools/load_cost.cpp
@@ -37,13 +37,13 @@
 
 namespace {
 
-struct Measured
+struct Measurement
 {
   double m_micros = 0;
   std::size_t m_allocations = 0;
 };
 
-Measured Measure(std::size_t aWorkers)
+Measurement MeasureDecisions(std::size_t aWorkers)
 {
   constexpr int kDecisions = 200000;
   std::vector<routing::WorkerView> workers(aWorkers);
@@ -74,14 +74,14 @@
 
 } // namespace
 
-int Cost(const settings::Settings& aSettings)
+int DecisionCost(const settings::Settings& aSettings)
 {
   std::printf("| workers | microseconds a decision | allocations |\n|---|---|---|\n");
   nlohmann::json rows = nlohmann::json::array();
   for (const std::size_t workers : { 20, 100, 650 }) {
-    const Measured measured = Measure(workers);
-    std::printf("| %zu | %.3f | %zu |\n", workers, measured.m_micros, measured.m_allocations);
-    rows.push_back({ { "workers", workers }, { "micros", measured.m_micros } });
+    const Measurement measurement = MeasureDecisions(workers);
+    std::printf("| %zu | %.3f | %zu |\n", workers, measurement.m_micros, measurement.m_allocations);
+    rows.push_back({ { "workers", workers }, { "micros", measurement.m_micros } });
   }
   WriteJson(aSettings, rows);
   return settings::kExitOk;
--- a/tools/load_drive.cpp
+++ b/tools/load_drive.cpp
@@ -17,8 +17,8 @@
 
 struct Result
 {
-  double m_firstToken = 0;
-  double m_whole = 0;
+  double m_firstTokenSeconds = 0;
+  double m_totalSeconds = 0;
   int m_status = 0;
 };
 
@@ -47,8 +47,8 @@
 private:
   void ScheduleNext()
   {
-    std::exponential_distribution<double> gap(m_settings.Number("rate"));
-    m_next = m_loop.After(base::FromSeconds(gap(m_random)), [this] {
+    std::exponential_distribution<double> interarrival(m_settings.Number("rate"));
+    m_arrivalTimer = m_loop.After(base::FromSeconds(interarrival(m_random)), [this] {
       if (base::MonotonicNow() >= m_end) {
         m_arrivalsDone = true;
         StopIfDone();
@@ -78,14 +78,14 @@
 
   void AddContext()
   {
-    constexpr std::size_t kKeptContexts = 200;
+    constexpr std::size_t kMaxContexts = 200;
     std::string text = "context " + std::to_string(m_random()) + " ";
     const std::size_t size = (8 + m_random() % 32) * 1024;
     while (text.size() < size) {
       text += std::to_string(m_random()) + " ";
     }
     m_contexts.push_back(text);
-    if (m_contexts.size() > kKeptContexts) {
+    if (m_contexts.size() > kMaxContexts) {
       m_contexts.erase(m_contexts.begin());
     }
   }
@@ -105,24 +105,24 @@
     auto result = std::make_shared<Result>();
     net::ClientEvents events;
     events.m_onData = [result, start](std::string_view) {
-      if (result->m_firstToken == 0) {
-        result->m_firstToken = base::Seconds(base::MonotonicNow() - start);
+      if (result->m_firstTokenSeconds == 0) {
+        result->m_firstTokenSeconds = base::Seconds(base::MonotonicNow() - start);
       }
     };
     events.m_onEnd = [this, result, start](const net::ClientOutcome& aOutcome) {
-      result->m_whole = base::Seconds(base::MonotonicNow() - start);
+      result->m_totalSeconds = base::Seconds(base::MonotonicNow() - start);
       result->m_status = aOutcome.m_end == net::WireEnd::Complete ? aOutcome.m_status : 0;
       m_results.push_back(*result);
-      --m_open;
+      --m_inFlight;
       StopIfDone();
     };
-    ++m_open;
+    ++m_inFlight;
     m_http->Start(std::move(request), std::move(events));
   }
 
   void StopIfDone()
   {
-    if (m_arrivalsDone && m_open == 0) {
+    if (m_arrivalsDone && m_inFlight == 0) {
       m_loop.Stop();
     }
   }
@@ -134,16 +134,16 @@
   std::vector<std::string> m_gates;
   std::vector<std::string> m_contexts;
   std::vector<Result> m_results;
-  net::TimerHandle m_next;
+  net::TimerHandle m_arrivalTimer;
   base::TimePoint m_end;
   std::size_t m_sent = 0;
-  std::size_t m_open = 0;
+  std::size_t m_inFlight = 0;
   bool m_arrivalsDone = false;
 };
 
 } // namespace
 
-int Drive(const settings::Settings& aSettings)
+int DriveLoad(const settings::Settings& aSettings)
 {
   Driver driver(aSettings);
   const std::vector<Result> results = driver.Run();
@@ -151,7 +151,7 @@
   std::size_t failed = 0;
   for (const Result& result : results) {
     if (result.m_status == 200) {
-      firstTokens.push_back(result.m_firstToken);
+      firstTokens.push_back(result.m_firstTokenSeconds);
     } else {
       ++failed;
     }
--- a/tools/load_parts.cpp
+++ b/tools/load_parts.cpp
@@ -33,7 +33,7 @@
 
 /// Runs a step for so many items and tells the memory and time of one.
 template<typename Step>
-json Slope(const char* aName, std::size_t aItems, Step aStep)
+json MeasurePerItem(const char* aName, std::size_t aItems, Step aStep)
 {
   const double before = ResidentBytes();
   const auto start = std::chrono::steady_clock::now();
@@ -57,14 +57,14 @@
          "\n";
 }
 
-base::Digest128 Name(std::size_t aNumber)
+base::Digest128 DigestOf(std::size_t aNumber)
 {
   return base::HashWithSeed({}, std::to_string(aNumber));
 }
 
 } // namespace
 
-int Parts(const settings::Settings& aSettings)
+int ComponentCosts(const settings::Settings& aSettings)
 {
   constexpr std::size_t kAccounts = 27000;
   constexpr std::size_t kChanges = 3800;
@@ -83,41 +83,43 @@
     };
     replay.Apply({ aOffset, {}, file });
   };
-  rows.push_back(Slope("configuration replay, first file of an account",
-                       kAccounts,
-                       [&](std::size_t aItem) { apply(aItem, 0, aItem + 1); }));
+  rows.push_back(MeasurePerItem("configuration replay, first file of an account",
+                                kAccounts,
+                                [&](std::size_t aItem) { apply(aItem, 0, aItem + 1); }));
   replay::Registry registry;
   const auto put = [&](std::size_t aItem) {
     const auto* scope = replay.Find("account-" + std::to_string(aItem));
     registry.Put(std::make_shared<config::Document>(*config::Parse(scope->m_body, scope->m_scope)));
   };
-  rows.push_back(Slope("registry, account parsed and indexed", kAccounts, put));
-  rows.push_back(Slope("configuration change at 27,000 accounts", kChanges, [&](std::size_t aItem) {
-    apply(aItem, 1, kAccounts + 1 + aItem);
-    put(aItem);
-  }));
+  rows.push_back(MeasurePerItem("registry, account parsed and indexed", kAccounts, put));
+  rows.push_back(
+    MeasurePerItem("configuration change at 27,000 accounts", kChanges, [&](std::size_t aItem) {
+      apply(aItem, 1, kAccounts + 1 + aItem);
+      put(aItem);
+    }));
   limits::AccountLimiter limiter;
-  rows.push_back(Slope("limiter, account", kAccounts, [&](std::size_t aItem) {
+  rows.push_back(MeasurePerItem("limiter, account", kAccounts, [&](std::size_t aItem) {
     limiter.SetLimit("account-" + std::to_string(aItem), {}, {});
   }));
-  rows.push_back(Slope("authentication and admission of a request", 200000, [&](std::size_t) {
-    const auto* account = registry.AccountByKey(base::Sha256Hex("account-5"));
-    static_cast<void>(limiter.Admit(account->m_name, {}));
-    limiter.Release(account->m_name);
-  }));
+  rows.push_back(
+    MeasurePerItem("authentication and admission of a request", 200000, [&](std::size_t) {
+      const auto* account = registry.AccountByKey(base::Sha256Hex("account-5"));
+      static_cast<void>(limiter.Admit(account->m_name, {}));
+      limiter.Release(account->m_name);
+    }));
   once::ClaimTable claims(std::chrono::hours(1));
-  rows.push_back(Slope("claim table, held key", kKeys, [&](std::size_t aItem) {
+  rows.push_back(MeasurePerItem("claim table, held key", kKeys, [&](std::size_t aItem) {
     const once::ClaimEntry claim =
-      once::Claim{ Name(aItem), Name(aItem + kKeys), {}, "h1-1700000000000000" };
+      once::Claim{ DigestOf(aItem), DigestOf(aItem + kKeys), {}, "h1-1700000000000000" };
     claims.Apply({ aItem, {} }, { &claim, 1 });
   }));
   once::TicketTable tickets("h1-1700000000000000", { std::chrono::hours(1), kKeys, 1 });
-  rows.push_back(Slope("ticket, issued", kKeys, [&](std::size_t aItem) {
-    static_cast<void>(tickets.Issue("lab", base::ToHex(Name(aItem)), {}));
+  rows.push_back(MeasurePerItem("ticket, issued", kKeys, [&](std::size_t aItem) {
+    static_cast<void>(tickets.Issue("lab", base::ToHex(DigestOf(aItem)), {}));
   }));
   routing::CacheHints hints(kBlocks);
-  rows.push_back(Slope("cache hint, block", kBlocks, [&](std::size_t aItem) {
-    const base::Digest128 block = Name(aItem);
+  rows.push_back(MeasurePerItem("cache hint, block", kBlocks, [&](std::size_t aItem) {
+    const base::Digest128 block = DigestOf(aItem);
     hints.OnRunCompleted("w", { &block, 1 });
   }));
   std::vector<std::string> workers;
@@ -125,11 +127,12 @@
     workers.push_back("worker-" + std::to_string(i));
   }
   std::size_t sink = 0;
-  rows.push_back(Slope("context, home workers named (4.8 M contexts, 93 workers)",
-                       kContexts / 10,
-                       [&](std::size_t aItem) {
-                         sink += routing::RendezvousHomes({ aItem, aItem }, workers, 2).front();
-                       }));
+  rows.push_back(
+    MeasurePerItem("context, home workers named (4.8 M contexts, 93 workers)",
+                   kContexts / 10,
+                   [&](std::size_t aItem) {
+                     sink += routing::RendezvousHomes({ aItem, aItem }, workers, 2).front();
+                   }));
   if (sink == 0) {
     std::printf("impossible\n");
   }
--- a/tools/load_probe.cpp
+++ b/tools/load_probe.cpp
@@ -30,19 +30,19 @@
 }
 
 /// Asks one after the other, the two addresses in turn.
-class Alternator
+class AlternatingProbe
 {
 public:
-  Alternator(const settings::Settings& aSettings, std::size_t aEach)
+  AlternatingProbe(const settings::Settings& aSettings, std::size_t aRequestsPerTarget)
     : m_settings(aSettings)
     , m_http(net::HttpClient::Create(m_loop))
-    , m_left(aEach * 2)
+    , m_requestsLeft(aRequestsPerTarget * 2)
   {
   }
 
   void Run()
   {
-    Next();
+    SendNext();
     m_loop.Run();
   }
 
@@ -50,13 +50,13 @@
   std::vector<double> m_direct;
 
 private:
-  void Next()
+  void SendNext()
   {
-    if (m_left-- == 0) {
+    if (m_requestsLeft-- == 0) {
       m_loop.Stop();
       return;
     }
-    const bool viaGate = m_left % 2 == 0;
+    const bool viaGate = m_requestsLeft % 2 == 0;
     const base::TimePoint start = base::MonotonicNow();
     auto first = std::make_shared<bool>(true);
     net::ClientEvents events;
@@ -66,7 +66,7 @@
         (viaGate ? m_viaGate : m_direct).push_back(base::Seconds(base::MonotonicNow() - start));
       }
     };
-    events.m_onEnd = [this](const net::ClientOutcome&) { Next(); };
+    events.m_onEnd = [this](const net::ClientOutcome&) { SendNext(); };
     m_http->Start(StreamRequest(m_settings, m_settings.Text(viaGate ? "gate" : "direct"), 1),
                   std::move(events));
   }
@@ -74,7 +74,7 @@
   const settings::Settings& m_settings;
   net::Loop m_loop;
   std::unique_ptr<net::HttpClient> m_http;
-  std::size_t m_left;
+  std::size_t m_requestsLeft;
 };
 
 double Median(std::vector<double> aValues)
@@ -86,47 +86,48 @@
 /// Opens streams and waits until each has begun; they end with the program.
 std::size_t HoldStreams(const settings::Settings& aSettings, std::size_t aStreams)
 {
-  constexpr std::uint32_t kEndless = 100000;
+  constexpr std::uint32_t kLongStreamTokens = 100000;
   net::Loop loop;
   const auto http = net::HttpClient::Create(loop);
-  std::size_t begun = 0;
-  std::vector<bool> seen(aStreams, false);
+  std::size_t started = 0;
+  std::vector<bool> hasData(aStreams, false);
   for (std::size_t i = 0; i < aStreams; ++i) {
     net::ClientEvents events;
     auto status = std::make_shared<int>(0);
     events.m_onStatus = [status](int aStatus) { *status = aStatus; };
     events.m_onData = [&, i, status](std::string_view) {
-      if (!seen[i] && *status == 200) {
-        seen[i] = true;
-        ++begun;
+      if (!hasData[i] && *status == 200) {
+        hasData[i] = true;
+        ++started;
       }
     };
-    http->Start(StreamRequest(aSettings, aSettings.Text("gate"), kEndless), std::move(events));
+    http->Start(StreamRequest(aSettings, aSettings.Text("gate"), kLongStreamTokens),
+                std::move(events));
   }
   const auto end = loop.After(base::FromSeconds(aSettings.Number("seconds")), [&] {
-    std::printf("open streams %zu of %zu\n", begun, aStreams);
+    std::printf("open streams %zu of %zu\n", started, aStreams);
     std::fflush(stdout);
     loop.Stop();
   });
   loop.Run();
-  return begun;
+  return started;
 }
 
 } // namespace
 
-int Probe(const settings::Settings& aSettings)
+int GateOverhead(const settings::Settings& aSettings)
 {
-  const std::size_t each = aSettings.Count("requests");
-  Alternator alternator(aSettings, each);
-  alternator.Run();
-  const double viaGate = Median(alternator.m_viaGate);
-  const double direct = Median(alternator.m_direct);
+  const std::size_t requestsPerTarget = aSettings.Count("requests");
+  AlternatingProbe probe(aSettings, requestsPerTarget);
+  probe.Run();
+  const double viaGate = Median(probe.m_viaGate);
+  const double direct = Median(probe.m_direct);
   std::printf("median time to first token: through the gate %.3f ms, directly %.3f ms, added %.3f "
               "ms (%zu each)\n",
               viaGate * 1000,
               direct * 1000,
               (viaGate - direct) * 1000,
-              alternator.m_viaGate.size());
+              probe.m_viaGate.size());
   std::fflush(stdout);
   const std::size_t streams = aSettings.Count("streams");
   const bool held = streams == 0 || HoldStreams(aSettings, streams) == streams;
--- a/tools/load_redundancy.cpp
+++ b/tools/load_redundancy.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-enum class Subsets : std::uint8_t
+enum class CopyPlacement : std::uint8_t
 {
   Design,       ///< a block of the design at random
   DesignInTurn, ///< the design's blocks in turn
@@ -22,47 +22,47 @@
   Estimate, ///< no copies: the shortest estimated queue
 };
 
-enum class Reports : std::uint8_t
+enum class ReportQuality : std::uint8_t
 {
   Fresh,
   Lagged,
   Lost,
 };
 
-struct Setup
+struct ModelParameters
 {
   std::size_t m_workers = 7;
   std::vector<std::vector<std::size_t>> m_design;
-  Subsets m_subsets = Subsets::Design;
-  Reports m_reports = Reports::Lost;
+  CopyPlacement m_placement = CopyPlacement::Design;
+  ReportQuality m_reportQuality = ReportQuality::Lost;
   double m_load = 0.8;
   double m_cancelDelay = 0;
   std::uint64_t m_seed = 1;
 };
 
 std::vector<std::vector<std::size_t>> CyclicDesign(std::size_t aWorkers,
-                                                   const std::vector<std::size_t>& aBase)
+                                                   const std::vector<std::size_t>& aBaseBlock)
 {
   std::vector<std::vector<std::size_t>> blocks;
   for (std::size_t shift = 0; shift < aWorkers; ++shift) {
     std::vector<std::size_t> block;
-    for (const std::size_t each : aBase) {
-      block.push_back((each + shift) % aWorkers);
+    for (const std::size_t element : aBaseBlock) {
+      block.push_back((element + shift) % aWorkers);
     }
     blocks.push_back(block);
   }
   return blocks;
 }
 
-struct Copy
+struct JobCopy
 {
   std::size_t m_job;
 };
 
 struct Server
 {
-  std::vector<Copy> m_queue;
-  double m_freeAt = 0;
+  std::vector<JobCopy> m_queue;
+  double m_idleAt = 0;
   std::size_t m_head = 0;
 };
 
@@ -71,42 +71,42 @@
 class RedundancyModel
 {
 public:
-  explicit RedundancyModel(const Setup& aSetup)
-    : m_setup(aSetup)
-    , m_random(aSetup.m_seed)
-    , m_servers(aSetup.m_workers)
-    , m_order(aSetup.m_workers)
+  explicit RedundancyModel(const ModelParameters& aParameters)
+    : m_parameters(aParameters)
+    , m_random(aParameters.m_seed)
+    , m_servers(aParameters.m_workers)
+    , m_serverOrder(aParameters.m_workers)
   {
-    std::iota(m_order.begin(), m_order.end(), 0);
+    std::iota(m_serverOrder.begin(), m_serverOrder.end(), 0);
   }
 
   std::vector<double> Run(std::size_t aJobs)
   {
-    std::exponential_distribution<double> gap(m_setup.m_load *
-                                              static_cast<double>(m_setup.m_workers));
+    std::exponential_distribution<double> gap(m_parameters.m_load *
+                                              static_cast<double>(m_parameters.m_workers));
     double now = 0;
     for (std::size_t job = 0; job < aJobs; ++job) {
       now += gap(m_random);
-      Advance(now);
-      m_arrivals.push_back(now);
-      m_started.push_back(-1);
-      m_service.push_back(DrawService());
-      m_answered.push_back(-1);
-      for (const std::size_t server : Targets(job, now)) {
+      AdvanceTo(now);
+      m_arrivalTimes.push_back(now);
+      m_startTimes.push_back(-1);
+      m_serviceTimes.push_back(DrawService());
+      m_endTimes.push_back(-1);
+      for (const std::size_t server : ChooseServers(job, now)) {
         m_servers[server].m_queue.push_back({ job });
-        m_events.push({ std::max(now, m_servers[server].m_freeAt), server });
+        m_events.push({ std::max(now, m_servers[server].m_idleAt), server });
       }
     }
-    Advance(1e18);
+    AdvanceTo(1e18);
     std::vector<double> waits;
     for (std::size_t job = aJobs / 10; job < aJobs; ++job) {
-      waits.push_back(m_started[job] - m_arrivals[job]);
+      waits.push_back(m_startTimes[job] - m_arrivalTimes[job]);
     }
     std::sort(waits.begin(), waits.end());
     return waits;
   }
 
-  [[nodiscard]] double Wasted() const { return m_wasted; }
+  [[nodiscard]] double WastedTime() const { return m_wastedTime; }
 
 private:
   using Event = std::pair<double, std::size_t>;
@@ -119,142 +119,144 @@
     return unit(m_random) * (isLong ? 10.0 : 10.0 / 19);
   }
 
-  std::vector<std::size_t> Targets(std::size_t aJob, double aNow)
+  std::vector<std::size_t> ChooseServers(std::size_t aJob, double aNow)
   {
-    const std::size_t copies = m_setup.m_design.front().size();
-    if (m_setup.m_subsets == Subsets::Design) {
-      return m_setup.m_design[m_random() % m_setup.m_design.size()];
+    const std::size_t copies = m_parameters.m_design.front().size();
+    if (m_parameters.m_placement == CopyPlacement::Design) {
+      return m_parameters.m_design[m_random() % m_parameters.m_design.size()];
     }
-    if (m_setup.m_subsets == Subsets::DesignInTurn) {
-      return m_setup.m_design[aJob % m_setup.m_design.size()];
+    if (m_parameters.m_placement == CopyPlacement::DesignInTurn) {
+      return m_parameters.m_design[aJob % m_parameters.m_design.size()];
     }
-    if (m_setup.m_subsets == Subsets::RoundRobin) {
+    if (m_parameters.m_placement == CopyPlacement::RoundRobin) {
       std::vector<std::size_t> targets;
       for (std::size_t i = 0; i < copies; ++i) {
-        targets.push_back((aJob * copies + i) % m_setup.m_workers);
+        targets.push_back((aJob * copies + i) % m_parameters.m_workers);
       }
       return targets;
     }
-    std::shuffle(m_order.begin(), m_order.end(), m_random);
-    if (m_setup.m_subsets == Subsets::Random) {
-      return { m_order.begin(), m_order.begin() + static_cast<std::ptrdiff_t>(copies) };
+    std::shuffle(m_serverOrder.begin(), m_serverOrder.end(), m_random);
+    if (m_parameters.m_placement == CopyPlacement::Random) {
+      return { m_serverOrder.begin(), m_serverOrder.begin() + static_cast<std::ptrdiff_t>(copies) };
     }
     const std::size_t chosen = ShortestQueue(aNow);
-    m_sentTo[aJob] = chosen;
+    m_targetServers[aJob] = chosen;
     return { chosen };
   }
 
   /// By the report as it is, plus what was sent since: the gate knows its own sends.
   std::size_t ShortestQueue(double aNow)
   {
-    TakeReport(aNow);
+    UpdateReport(aNow);
     return *std::min_element(
-      m_order.begin(), m_order.end(), [&](std::size_t aLeft, std::size_t aRight) {
-        return Estimated(aLeft, aNow) < Estimated(aRight, aNow);
+      m_serverOrder.begin(), m_serverOrder.end(), [&](std::size_t aLeft, std::size_t aRight) {
+        return EstimatedQueue(aLeft, aNow) < EstimatedQueue(aRight, aNow);
       });
   }
 
-  double Estimated(std::size_t aServer, double aNow)
+  double EstimatedQueue(std::size_t aServer, double aNow)
   {
-    if (m_setup.m_reports == Reports::Fresh) {
-      return TrueQueue(aServer, aNow);
+    if (m_parameters.m_reportQuality == ReportQuality::Fresh) {
+      return ActualQueue(aServer, aNow);
     }
     // Without the service times of others a send counts as the mean; answered ones are known.
-    double queued = m_setup.m_reports == Reports::Lagged
-                      ? std::max(0.0, m_report[aServer] - (aNow - m_reportAt))
+    double queued = m_parameters.m_reportQuality == ReportQuality::Lagged
+                      ? std::max(0.0, m_reportedQueues[aServer] - (aNow - m_reportTime))
                       : 0;
-    for (std::size_t job = m_recent; job < m_arrivals.size() - 1; ++job) {
-      const bool sentThere = m_sentTo[job] == aServer;
-      const bool counts = m_setup.m_reports == Reports::Lost || m_arrivals[job] > m_reportAt;
-      if (sentThere && counts && (m_answered[job] < 0 || m_answered[job] > aNow)) {
+    for (std::size_t job = m_firstEstimatedJob; job < m_arrivalTimes.size() - 1; ++job) {
+      const bool sentThere = m_targetServers[job] == aServer;
+      const bool counts =
+        m_parameters.m_reportQuality == ReportQuality::Lost || m_arrivalTimes[job] > m_reportTime;
+      if (sentThere && counts && (m_endTimes[job] < 0 || m_endTimes[job] > aNow)) {
         queued += 1;
       }
     }
     return queued;
   }
 
-  void TakeReport(double aNow)
+  void UpdateReport(double aNow)
   {
-    m_sentTo.resize(m_arrivals.size(), 0);
-    constexpr double kReportEvery = 2; // mean service times
-    if (m_report.empty() || aNow - m_reportAt > kReportEvery) {
-      m_report.assign(m_servers.size(), 0);
+    m_targetServers.resize(m_arrivalTimes.size(), 0);
+    constexpr double kReportInterval = 2; // mean service times
+    if (m_reportedQueues.empty() || aNow - m_reportTime > kReportInterval) {
+      m_reportedQueues.assign(m_servers.size(), 0);
       for (std::size_t i = 0; i < m_servers.size(); ++i) {
-        m_report[i] = TrueQueue(i, aNow);
+        m_reportedQueues[i] = ActualQueue(i, aNow);
       }
-      m_reportAt = aNow;
+      m_reportTime = aNow;
     }
-    constexpr std::size_t kRemembered = 400;
-    m_recent = m_arrivals.size() > kRemembered ? m_arrivals.size() - kRemembered : 0;
+    constexpr std::size_t kEstimateWindowJobs = 400;
+    m_firstEstimatedJob =
+      m_arrivalTimes.size() > kEstimateWindowJobs ? m_arrivalTimes.size() - kEstimateWindowJobs : 0;
   }
 
-  double TrueQueue(std::size_t aServer, double aNow)
+  double ActualQueue(std::size_t aServer, double aNow)
   {
     const Server& server = m_servers[aServer];
-    double queue = std::max(0.0, server.m_freeAt - aNow);
+    double queue = std::max(0.0, server.m_idleAt - aNow);
     for (std::size_t i = server.m_head; i < server.m_queue.size(); ++i) {
-      queue += m_service[server.m_queue[i].m_job];
+      queue += m_serviceTimes[server.m_queue[i].m_job];
     }
     return queue;
   }
 
-  void Advance(double aUntil)
+  void AdvanceTo(double aUntil)
   {
     while (!m_events.empty() && m_events.top().first <= aUntil) {
       const auto [at, index] = m_events.top();
       m_events.pop();
       Server& server = m_servers[index];
-      if (server.m_freeAt > at) {
+      if (server.m_idleAt > at) {
         continue;
       }
-      StartNext(server, index, at);
+      StartNextCopy(server, index, at);
     }
   }
 
-  void StartNext(Server& aServer, std::size_t aIndex, double aAt)
+  void StartNextCopy(Server& aServer, std::size_t aIndex, double aAt)
   {
     while (aServer.m_head < aServer.m_queue.size()) {
       const std::size_t job = aServer.m_queue[aServer.m_head++].m_job;
-      const bool startedElsewhere = m_started[job] >= 0;
-      if (startedElsewhere && aAt >= m_started[job] + m_setup.m_cancelDelay) {
+      const bool startedElsewhere = m_startTimes[job] >= 0;
+      if (startedElsewhere && aAt >= m_startTimes[job] + m_parameters.m_cancelDelay) {
         continue;
       }
       // A late cancel stops a copy that has started: the server is taken until the cancel comes.
-      const double busy =
-        startedElsewhere ? m_started[job] + m_setup.m_cancelDelay - aAt : m_service[job];
+      const double busy = startedElsewhere ? m_startTimes[job] + m_parameters.m_cancelDelay - aAt
+                                           : m_serviceTimes[job];
       if (startedElsewhere) {
-        m_wasted += busy;
+        m_wastedTime += busy;
       } else {
-        m_started[job] = aAt;
-        m_answered[job] = aAt + busy;
+        m_startTimes[job] = aAt;
+        m_endTimes[job] = aAt + busy;
       }
-      aServer.m_freeAt = aAt + busy;
-      m_events.push({ aServer.m_freeAt, aIndex });
+      aServer.m_idleAt = aAt + busy;
+      m_events.push({ aServer.m_idleAt, aIndex });
       return;
     }
   }
 
-  Setup m_setup;
+  ModelParameters m_parameters;
   std::mt19937_64 m_random;
   std::vector<Server> m_servers;
-  std::vector<std::size_t> m_order;
-  std::vector<double> m_arrivals;
-  std::vector<double> m_started;
-  std::vector<double> m_service;
-  std::vector<double> m_answered;
-  std::vector<std::size_t> m_sentTo;
-  std::vector<double> m_report;
-  double m_reportAt = -1e9;
-  std::size_t m_recent = 0;
-  double m_wasted = 0;
+  std::vector<std::size_t> m_serverOrder;
+  std::vector<double> m_arrivalTimes;
+  std::vector<double> m_startTimes;
+  std::vector<double> m_serviceTimes;
+  std::vector<double> m_endTimes;
+  std::vector<std::size_t> m_targetServers;
+  std::vector<double> m_reportedQueues;
+  double m_reportTime = -1e9;
+  std::size_t m_firstEstimatedJob = 0;
+  double m_wastedTime = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
 };
 
-struct Line
+struct Strategy
 {
   const char* m_name;
-  Subsets m_subsets;
-  Reports m_reports;
+  CopyPlacement m_placement;
+  ReportQuality m_reportQuality;
 };
 
 } // namespace
@@ -262,13 +264,15 @@
 int Redundancy(const settings::Settings& aSettings)
 {
   constexpr std::size_t kJobs = 20000;
-  const std::array<Line, 7> lines{ { { "design at random", Subsets::Design, Reports::Lost },
-                                     { "design in turn", Subsets::DesignInTurn, Reports::Lost },
-                                     { "random subsets", Subsets::Random, Reports::Lost },
-                                     { "round-robin subsets", Subsets::RoundRobin, Reports::Lost },
-                                     { "estimate, fresh", Subsets::Estimate, Reports::Fresh },
-                                     { "estimate, lagged", Subsets::Estimate, Reports::Lagged },
-                                     { "estimate, lost", Subsets::Estimate, Reports::Lost } } };
+  const std::array<Strategy, 7> strategies{
+    { { "design at random", CopyPlacement::Design, ReportQuality::Lost },
+      { "design in turn", CopyPlacement::DesignInTurn, ReportQuality::Lost },
+      { "random subsets", CopyPlacement::Random, ReportQuality::Lost },
+      { "round-robin subsets", CopyPlacement::RoundRobin, ReportQuality::Lost },
+      { "estimate, fresh", CopyPlacement::Estimate, ReportQuality::Fresh },
+      { "estimate, lagged", CopyPlacement::Estimate, ReportQuality::Lagged },
+      { "estimate, lost", CopyPlacement::Estimate, ReportQuality::Lost } }
+  };
   const std::array<std::pair<std::size_t, std::vector<std::vector<std::size_t>>>, 2> designs{
     { { 7, CyclicDesign(7, { 0, 1, 3 }) }, { 13, CyclicDesign(13, { 0, 1, 3, 9 }) } }
   };
@@ -283,15 +287,20 @@
                     design.front().size(),
                     delay,
                     load);
-        for (const Line& line : lines) {
+        for (const Strategy& strategy : strategies) {
           double mean = 0;
           double p95 = 0;
           double p99 = 0;
           double wasted = 0;
           const std::uint64_t seeds = aSettings.Count("seeds");
           for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            RedundancyModel model(
-              { workers, design, line.m_subsets, line.m_reports, load, delay, seed });
+            RedundancyModel model({ workers,
+                                    design,
+                                    strategy.m_placement,
+                                    strategy.m_reportQuality,
+                                    load,
+                                    delay,
+                                    seed });
             const std::vector<double> waits = model.Run(kJobs);
             const auto runs = static_cast<double>(seeds);
             for (const double wait : waits) {
@@ -299,14 +308,18 @@
             }
             p95 += waits[waits.size() * 95 / 100] / runs;
             p99 += waits[waits.size() * 99 / 100] / runs;
-            wasted += model.Wasted() / kJobs / runs;
+            wasted += model.WastedTime() / kJobs / runs;
           }
-          std::printf(
-            "| %s | %.3f | %.3f | %.3f | %.1f%% |\n", line.m_name, mean, p95, p99, wasted * 100);
+          std::printf("| %s | %.3f | %.3f | %.3f | %.1f%% |\n",
+                      strategy.m_name,
+                      mean,
+                      p95,
+                      p99,
+                      wasted * 100);
           rows.push_back({ { "workers", workers },
                            { "delay", delay },
                            { "load", load },
-                           { "subsets", line.m_name },
+                           { "subsets", strategy.m_name },
                            { "mean", mean },
                            { "p95", p95 } });
         }
--- a/tools/load_sweep.cpp
+++ b/tools/load_sweep.cpp
@@ -41,43 +41,46 @@
 }
 
 /// The means over the seeds, with the spread of the 95th percentile.
-struct Row
+struct PolicyResult
 {
   std::string m_policy;
   double m_p50 = 0;
   double m_p95 = 0;
   double m_p99 = 0;
-  double m_p95Least = 1e18;
-  double m_p95Most = 0;
-  double m_share = 0;
+  double m_p95Min = 1e18;
+  double m_p95Max = 0;
+  double m_meanRecomputedShare = 0;
   double m_linkGigabytes = 0;
   double m_linkUse = 0;
 };
 
-struct Case
+struct SweepCase
 {
   Scenario m_scenario;
   double m_load = 0.8;
-  double m_lag = 0;
+  double m_reportLagSeconds = 0;
   experiment::Fault m_fault = experiment::Fault::None;
 };
 
-ModelOptions ModelOf(const Case& aCase, const Policy& aPolicy, std::uint64_t aSeed)
+ModelOptions ModelOptionsFor(const SweepCase& aCase, const Policy& aPolicy, std::uint64_t aSeed)
 {
   ModelOptions options;
   options.m_workers = aCase.m_scenario.m_workers;
-  options.m_reportLag = aCase.m_lag;
+  options.m_reportLag = aCase.m_reportLagSeconds;
   options.m_fault = aCase.m_fault;
   options.m_seed = aSeed;
-  const bool ours = std::holds_alternative<experiment::Estimated>(aPolicy);
-  options.m_keep = ours ? experiment::KeepRule::Index : experiment::KeepRule::LeastRecent;
-  options.m_exportsYield = ours;
+  const bool estimated = std::holds_alternative<experiment::Estimated>(aPolicy);
+  options.m_keep = estimated ? experiment::KeepRule::Index : experiment::KeepRule::LeastRecent;
+  options.m_exportsYield = estimated;
   return options;
 }
 
-Row RunPolicy(const Case& aCase, const Policy& aPolicy, std::uint64_t aSeeds, double aSeconds)
+PolicyResult RunPolicy(const SweepCase& aCase,
+                       const Policy& aPolicy,
+                       std::uint64_t aSeeds,
+                       double aSeconds)
 {
-  Row row;
+  PolicyResult row;
   row.m_policy = experiment::NameOf(aPolicy);
   for (std::uint64_t seed = 1; seed <= aSeeds; ++seed) {
     experiment::TraceOptions trace;
@@ -86,73 +89,73 @@
     trace.m_load = aCase.m_load;
     trace.m_seconds = aSeconds;
     trace.m_seed = seed;
-    const Outcome outcome =
-      experiment::Play(experiment::MakeTrace(trace), aPolicy, ModelOf(aCase, aPolicy, seed));
+    const Outcome outcome = experiment::Play(
+      experiment::MakeTrace(trace), aPolicy, ModelOptionsFor(aCase, aPolicy, seed));
     const double p95 = outcome.Quantile(0.95);
     const auto runs = static_cast<double>(aSeeds);
     row.m_p50 += outcome.Quantile(0.5) / runs;
     row.m_p95 += p95 / runs;
     row.m_p99 += outcome.Quantile(0.99) / runs;
-    row.m_p95Least = std::min(row.m_p95Least, p95);
-    row.m_p95Most = std::max(row.m_p95Most, p95);
-    row.m_share += outcome.m_recomputedShare / runs;
+    row.m_p95Min = std::min(row.m_p95Min, p95);
+    row.m_p95Max = std::max(row.m_p95Max, p95);
+    row.m_meanRecomputedShare += outcome.m_recomputedShare / runs;
     row.m_linkGigabytes += outcome.m_linkBytes / 1e9 / runs;
     row.m_linkUse += outcome.m_linkUse / runs;
   }
   return row;
 }
 
-json RunCase(const Case& aCase, const settings::Settings& aSettings)
+json RunCase(const SweepCase& aCase, const settings::Settings& aSettings)
 {
-  std::vector<std::future<Row>> running;
+  std::vector<std::future<PolicyResult>> futures;
   for (const Policy& policy : PoliciesFor(aCase.m_scenario)) {
-    running.push_back(std::async(std::launch::async, [=, &aSettings] {
+    futures.push_back(std::async(std::launch::async, [=, &aSettings] {
       return RunPolicy(aCase, policy, aSettings.Count("seeds"), aSettings.Number("seconds"));
     }));
   }
   std::printf("\n%s, load %.2f, report lag %.0f s, fault %s\n\n",
               aCase.m_scenario.m_name.c_str(),
               aCase.m_load,
-              aCase.m_lag,
+              aCase.m_reportLagSeconds,
               experiment::NameOf(aCase.m_fault).c_str());
   std::printf(
     "| policy | p50 s | p95 s (least..most) | p99 s | recomputed | link GB | link use |\n");
   std::printf("|---|---|---|---|---|---|---|\n");
   json rows = json::array();
-  for (auto& future : running) {
-    const Row row = future.get();
+  for (auto& future : futures) {
+    const PolicyResult row = future.get();
     std::printf("| %s | %.3f | %.3f (%.3f..%.3f) | %.3f | %.1f%% | %.0f | %.0f%% |\n",
                 row.m_policy.c_str(),
                 row.m_p50,
                 row.m_p95,
-                row.m_p95Least,
-                row.m_p95Most,
+                row.m_p95Min,
+                row.m_p95Max,
                 row.m_p99,
-                row.m_share * 100,
+                row.m_meanRecomputedShare * 100,
                 row.m_linkGigabytes,
                 row.m_linkUse * 100);
     rows.push_back({ { "scenario", aCase.m_scenario.m_name },
                      { "load", aCase.m_load },
-                     { "lag", aCase.m_lag },
+                     { "lag", aCase.m_reportLagSeconds },
                      { "fault", experiment::NameOf(aCase.m_fault) },
                      { "policy", row.m_policy },
                      { "p50", row.m_p50 },
                      { "p95", row.m_p95 },
-                     { "p95_least", row.m_p95Least },
-                     { "p95_most", row.m_p95Most },
+                     { "p95_least", row.m_p95Min },
+                     { "p95_most", row.m_p95Max },
                      { "p99", row.m_p99 },
-                     { "recomputed_share", row.m_share },
+                     { "recomputed_share", row.m_meanRecomputedShare },
                      { "link_gigabytes", row.m_linkGigabytes },
                      { "link_use", row.m_linkUse } });
   }
   return rows;
 }
 
-int RunCases(const std::vector<Case>& aCases, const settings::Settings& aSettings)
+int RunCases(const std::vector<SweepCase>& aCases, const settings::Settings& aSettings)
 {
   json all = json::array();
-  for (const Case& each : aCases) {
-    for (json& row : RunCase(each, aSettings)) {
+  for (const SweepCase& sweepCase : aCases) {
+    for (json& row : RunCase(sweepCase, aSettings)) {
       all.push_back(std::move(row));
     }
   }
@@ -164,7 +167,7 @@
 
 int Sweep(const settings::Settings& aSettings)
 {
-  std::vector<Case> cases;
+  std::vector<SweepCase> cases;
   for (const Scenario& scenario : Scenarios()) {
     for (const double load : { 0.5, 0.8, 0.95 }) {
       cases.push_back({ scenario, load });
@@ -173,10 +176,10 @@
   return RunCases(cases, aSettings);
 }
 
-int Faults(const settings::Settings& aSettings)
+int FaultSweep(const settings::Settings& aSettings)
 {
   using experiment::Fault;
-  std::vector<Case> cases;
+  std::vector<SweepCase> cases;
   for (const Scenario& scenario : Scenarios()) {
     for (const double lag : { 1.0, 5.0 }) {
       cases.push_back({ scenario, 0.8, lag });
@@ -193,7 +196,7 @@
   return RunCases(cases, aSettings);
 }
 
-int Small(const settings::Settings& aSettings)
+int OfflineOptimum(const settings::Settings& aSettings)
 {
   constexpr std::size_t kArrivals = 6;
   constexpr std::uint32_t kWorkers = 3;
@@ -219,20 +222,20 @@
     ModelOptions model;
     model.m_workers = kWorkers;
     model.m_gates = 1;
-    const double best = experiment::OfflineBestMean(trace, model);
-    const Outcome ours = experiment::Play(trace, experiment::Estimated{ { 1, 0, 0 } }, model);
+    const double optimal = experiment::OfflineBestMean(trace, model);
+    const Outcome estimated = experiment::Play(trace, experiment::Estimated{ { 1, 0, 0 } }, model);
     double mean = 0;
-    for (const double firstToken : ours.m_firstToken) {
+    for (const double firstToken : estimated.m_firstToken) {
       mean += firstToken / static_cast<double>(trace.size());
     }
-    worst = std::max(worst, mean / best);
-    sum += mean / best;
+    worst = std::max(worst, mean / optimal);
+    sum += mean / optimal;
     std::printf("| %llu | %.4f | %.4f | %.3f |\n",
                 static_cast<unsigned long long>(seed),
-                best,
+                optimal,
                 mean,
-                mean / best);
-    rows.push_back({ { "seed", seed }, { "best", best }, { "ours", mean } });
+                mean / optimal);
+    rows.push_back({ { "seed", seed }, { "best", optimal }, { "ours", mean } });
   }
   std::printf("\nmean ratio %.3f, worst %.3f over %llu traces\n",
               sum / static_cast<double>(traces),
@@ -244,10 +247,11 @@
 
 const std::vector<Command>& Commands()
 {
-  static const std::vector<Command> kCommands{ { "sweep", Sweep }, { "faults", Faults },
-                                               { "small", Small }, { "redundancy", Redundancy },
-                                               { "cost", Cost },   { "parts", Parts },
-                                               { "probe", Probe }, { "drive", Drive } };
+  static const std::vector<Command> kCommands{
+    { "sweep", Sweep },           { "faults", FaultSweep }, { "small", OfflineOptimum },
+    { "redundancy", Redundancy }, { "cost", DecisionCost }, { "parts", ComponentCosts },
+    { "probe", GateOverhead },    { "drive", DriveLoad }
+  };
   return kCommands;
 }
 
