--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr base::Duration kLoadEvery = std::chrono::milliseconds(100);
+constexpr base::Duration kLoadSampleInterval = std::chrono::milliseconds(100);
 constexpr base::Duration kImportTimeout = std::chrono::seconds(20);
 
-json BlockRow(const std::string& aBlock, const std::string& aValue)
+json BlockToJson(const std::string& aBlock, const std::string& aValue)
 {
   return { { "block", aBlock },
            { "value", aValue },
@@ -28,9 +28,10 @@
   , m_cache(m_options.m_cacheBlocks)
 {
   m_decodeTimer = m_loop.Every(m_options.m_tokenTime, [this] { DecodeStep(); });
-  m_loads.emplace_back(base::MonotonicNow(), LoadNow());
-  m_loadTimer =
-    m_loop.Every(kLoadEvery, [this] { m_loads.emplace_back(base::MonotonicNow(), LoadNow()); });
+  m_loadReports.emplace_back(base::MonotonicNow(), CurrentLoad());
+  m_loadTimer = m_loop.Every(kLoadSampleInterval, [this] {
+    m_loadReports.emplace_back(base::MonotonicNow(), CurrentLoad());
+  });
 }
 
 void Engine::Handle(const Request& aRequest, const ReplyPtr& aReply)
@@ -46,7 +47,7 @@
     OnEvents(aRequest, aReply);
   } else if (path == "/kv/list") {
     SendJson(
-      aReply, 200, { { "sequence", m_cache.LastSequence() }, { "blocks", m_cache.Names() } });
+      aReply, 200, { { "sequence", m_cache.LastSequence() }, { "blocks", m_cache.BlockNames() } });
   } else if (path == "/kv/import") {
     OnImport(ParseBody(aRequest.m_body), aReply);
   } else if (path == "/kv/drop") {
@@ -60,7 +61,7 @@
     SendJson(
       aReply,
       200,
-      { { "executions", m_ledger }, { "orders", m_orders }, { "event_polls", m_eventPolls } });
+      { { "executions", m_executions }, { "orders", m_orders }, { "event_polls", m_eventPolls } });
   } else if (path == "/admin/faults") {
     OnFaults(ParseBody(aRequest.m_body), aReply);
   } else {
@@ -68,7 +69,7 @@
   }
 }
 
-std::string Engine::RefusalFor(const json& aBody) const
+std::string Engine::RejectionReason(const json& aBody) const
 {
   if (m_leaving) {
     return "leaving";
@@ -107,9 +108,9 @@
                   std::vector<std::string> values;
                   for (const json& row : reply["blocks"]) {
                     const std::string value = row.at("value").get<std::string>();
-                    const bool whole = value.size() == row.at("length").get<std::size_t>() &&
-                                       Hash("", value) == row.at("checksum").get<std::string>();
-                    if (!whole) {
+                    const bool intact = value.size() == row.at("length").get<std::size_t>() &&
+                                        Hash("", value) == row.at("checksum").get<std::string>();
+                    if (!intact) {
                       break;
                     }
                     values.push_back(value);
@@ -127,7 +128,7 @@
     if (value.empty()) {
       break;
     }
-    rows.push_back(BlockRow(block, value));
+    rows.push_back(BlockToJson(block, value));
   }
   const std::string store = aBody.at("store").get<std::string>();
   net::ClientRequest request;
@@ -181,14 +182,15 @@
       m_options.m_version = aVersion;
       m_swapTarget.clear();
       // What queued for the old version has not started; its callers are told so.
-      for (const auto& [key, run] : m_waiting) {
+      for (const auto& [key, run] : m_prefillQueue) {
         for (const ReplyPtr& reader : run->m_readers) {
-          reader->Write(Sse({ { "error", { { "message", "swapped" } } }, { "x_started", false } }));
+          reader->Write(ToServerSentEvent(
+            { { "error", { { "message", "swapped" } } }, { "x_started", false } }));
           reader->Finish();
         }
         m_runs.erase(run->m_attempt);
       }
-      m_waiting.clear();
+      m_prefillQueue.clear();
       m_cache.Clear();
     });
   };
@@ -207,8 +209,8 @@
   const std::string after = aRequest.QueryValue("after");
   json rows = json::array();
   for (const CacheEvent& event : m_cache.EventsAfter(after.empty() ? 0 : std::stoull(after))) {
-    if (m_hiddenEvents > 0) {
-      --m_hiddenEvents;
+    if (m_eventsToDrop > 0) {
+      --m_eventsToDrop;
       continue;
     }
     rows.push_back({ { "sequence", event.m_sequence },
@@ -218,10 +220,10 @@
   SendJson(aReply, 200, { { "events", rows } });
 }
 
-json Engine::LoadNow() const
+json Engine::CurrentLoad() const
 {
   double tokens = 0;
-  for (const auto& [key, run] : m_waiting) {
+  for (const auto& [key, run] : m_prefillQueue) {
     tokens += run->m_promptTokens;
   }
   if (m_prefilling) {
@@ -240,12 +242,12 @@
 void Engine::OnLoad(const ReplyPtr& aReply)
 {
   const base::TimePoint now = base::MonotonicNow();
-  while (m_loads.size() > 1 && now - m_loads[1].first >= m_options.m_loadLag) {
-    m_loads.pop_front();
+  while (m_loadReports.size() > 1 && now - m_loadReports[1].first >= m_options.m_loadLag) {
+    m_loadReports.pop_front();
   }
   const bool fresh = m_options.m_loadLag == base::Duration::zero();
-  json load = fresh ? LoadNow() : m_loads.front().second;
-  load["age_ms"] = fresh ? 0 : (now - m_loads.front().first).count() / 1000;
+  json load = fresh ? CurrentLoad() : m_loadReports.front().second;
+  load["age_ms"] = fresh ? 0 : (now - m_loadReports.front().first).count() / 1000;
   SendJson(aReply, 200, load);
 }
 
@@ -253,7 +255,7 @@
 {
   m_slowness = aBody.value("slowness", m_slowness);
   m_leaving = aBody.value("leaving", m_leaving);
-  m_hiddenEvents = aBody.value("hide_events", m_hiddenEvents);
+  m_eventsToDrop = aBody.value("hide_events", m_eventsToDrop);
   m_answerVersion = aBody.value("answer_version", m_answerVersion);
   if (aBody.value("evict", false)) {
     m_cache.Clear();
--- a/standins/engine.hpp
+++ b/standins/engine.hpp
@@ -49,15 +49,15 @@
     std::string m_prompt;
     std::string m_version;
     std::vector<std::string> m_blocks;
-    std::vector<std::string> m_imported; ///< contents of the blocks from m_importSkip on
+    std::vector<std::string> m_importedBlocks; ///< contents of the blocks from m_importSkip on
     std::size_t m_importSkip = 0;
-    std::vector<std::string> m_reused; ///< held from the start of the prefill on
+    std::vector<std::string> m_reusedBlocks; ///< held from the start of the prefill on
     std::uint64_t m_priority = 0;
     std::uint64_t m_sequence = 0;
     std::uint32_t m_tokensLeft = 0;
-    std::uint32_t m_tokensMade = 0;
-    std::uint32_t m_cached = 0;
-    std::uint32_t m_restored = 0;
+    std::uint32_t m_tokensEmitted = 0;
+    std::uint32_t m_cachedTokens = 0;
+    std::uint32_t m_restoredTokens = 0;
     std::uint32_t m_promptTokens = 0;
     std::string m_seed;
     std::string m_text;
@@ -76,7 +76,7 @@
   void OnLoad(const ReplyPtr& aReply);
   void OnFaults(const json& aBody, const ReplyPtr& aReply);
 
-  [[nodiscard]] std::string RefusalFor(const json& aBody) const;
+  [[nodiscard]] std::string RejectionReason(const json& aBody) const;
   RunPtr MakeRun(const json& aBody);
   void AddReader(const RunPtr& aRun, const ReplyPtr& aReply, std::size_t aOffset);
   void StartNextPrefill();
@@ -84,8 +84,8 @@
   void DecodeStep();
   void Emit(const RunPtr& aRun, const std::string& aText);
   void Finish(const RunPtr& aRun);
-  std::vector<std::string> TrueValues(const Run& aRun) const;
-  [[nodiscard]] json LoadNow() const;
+  std::vector<std::string> ComputeBlocks(const Run& aRun) const;
+  [[nodiscard]] json CurrentLoad() const;
   void BeginSwap(const std::string& aVersion);
 
   ferrytray::net::Loop& m_loop;
@@ -93,29 +93,29 @@
   EngineOptions m_options;
   EngineCache m_cache;
   std::map<std::string, RunPtr> m_runs;
-  std::deque<std::string> m_oldRuns;
-  std::map<std::pair<std::uint64_t, std::uint64_t>, RunPtr> m_waiting;
+  std::deque<std::string> m_retainedRuns;
+  std::map<std::pair<std::uint64_t, std::uint64_t>, RunPtr> m_prefillQueue;
   std::vector<RunPtr> m_decoding;
   RunPtr m_prefilling;
   ferrytray::net::TimerHandle m_prefillTimer;
   ferrytray::net::TimerHandle m_decodeTimer;
   ferrytray::net::TimerHandle m_loadTimer;
   ferrytray::net::TimerHandle m_swapTimer;
-  std::deque<std::pair<ferrytray::base::TimePoint, json>> m_loads;
+  std::deque<std::pair<ferrytray::base::TimePoint, json>> m_loadReports;
   struct Import
   {
     std::size_t m_skip = 0;
     std::vector<std::string> m_values;
   };
   std::map<std::string, Import> m_imports;
-  std::map<std::string, int> m_ledger;
+  std::map<std::string, int> m_executions;
   std::vector<json> m_orders;
   std::uint64_t m_sequence = 0;
   std::uint64_t m_highestFence = 0;
   std::string m_swapTarget;
   bool m_leaving = false;
   double m_slowness = 1;
-  int m_hiddenEvents = 0;
+  int m_eventsToDrop = 0;
   std::string m_answerVersion; ///< a fault: what it says it runs; empty: the truth
   std::uint64_t m_eventPolls = 0;
 };
--- a/standins/engine_cache.cpp
+++ b/standins/engine_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kKeptEvents = 2000;
+constexpr std::size_t kMaxRetainedEvents = 2000;
 
 } // namespace
 
@@ -12,16 +12,16 @@
 {
   if (const auto found = m_blocks.find(aBlock); found != m_blocks.end()) {
     found->second.m_value = aValue;
-    m_recent.splice(m_recent.begin(), m_recent, found->second.m_place);
+    m_lruOrder.splice(m_lruOrder.begin(), m_lruOrder, found->second.m_position);
     return;
   }
-  m_recent.push_front(aBlock);
-  m_blocks.emplace(aBlock, Entry{ aValue, m_recent.begin() });
-  Tell(aBlock, true);
+  m_lruOrder.push_front(aBlock);
+  m_blocks.emplace(aBlock, Entry{ aValue, m_lruOrder.begin() });
+  AddEvent(aBlock, true);
   while (m_blocks.size() > m_capacity) {
-    Tell(m_recent.back(), false);
-    m_blocks.erase(m_recent.back());
-    m_recent.pop_back();
+    AddEvent(m_lruOrder.back(), false);
+    m_blocks.erase(m_lruOrder.back());
+    m_lruOrder.pop_back();
   }
 }
 
@@ -31,22 +31,22 @@
   if (found == m_blocks.end()) {
     return {};
   }
-  m_recent.splice(m_recent.begin(), m_recent, found->second.m_place);
+  m_lruOrder.splice(m_lruOrder.begin(), m_lruOrder, found->second.m_position);
   return found->second.m_value;
 }
 
 void EngineCache::Clear()
 {
-  for (const std::string& block : m_recent) {
-    Tell(block, false);
+  for (const std::string& block : m_lruOrder) {
+    AddEvent(block, false);
   }
-  m_recent.clear();
+  m_lruOrder.clear();
   m_blocks.clear();
 }
 
-std::vector<std::string> EngineCache::Names() const
+std::vector<std::string> EngineCache::BlockNames() const
 {
-  return { m_recent.begin(), m_recent.end() };
+  return { m_lruOrder.begin(), m_lruOrder.end() };
 }
 
 std::vector<CacheEvent> EngineCache::EventsAfter(std::uint64_t aSequence) const
@@ -60,10 +60,10 @@
   return events;
 }
 
-void EngineCache::Tell(const std::string& aBlock, bool aStored)
+void EngineCache::AddEvent(const std::string& aBlock, bool aStored)
 {
   m_events.push_back({ ++m_sequence, aBlock, aStored });
-  if (m_events.size() > kKeptEvents) {
+  if (m_events.size() > kMaxRetainedEvents) {
     m_events.pop_front();
   }
 }
--- a/standins/engine_cache.hpp
+++ b/standins/engine_cache.hpp
@@ -30,7 +30,7 @@
   /// The content, or empty; a hit makes it the most recent.
   std::string Get(const std::string& aBlock);
   void Clear();
-  [[nodiscard]] std::vector<std::string> Names() const;
+  [[nodiscard]] std::vector<std::string> BlockNames() const;
   /// Events after a sequence number. Old ones are forgotten, which the reader sees as a gap.
   [[nodiscard]] std::vector<CacheEvent> EventsAfter(std::uint64_t aSequence) const;
   [[nodiscard]] std::uint64_t LastSequence() const { return m_sequence; }
@@ -39,14 +39,14 @@
   struct Entry
   {
     std::string m_value;
-    std::list<std::string>::iterator m_place;
+    std::list<std::string>::iterator m_position;
   };
 
-  void Tell(const std::string& aBlock, bool aStored);
+  void AddEvent(const std::string& aBlock, bool aStored);
 
   std::size_t m_capacity;
   std::uint64_t m_sequence = 0;
-  std::list<std::string> m_recent;
+  std::list<std::string> m_lruOrder;
   std::unordered_map<std::string, Entry> m_blocks;
   std::deque<CacheEvent> m_events;
 };
--- a/standins/engine_main.cpp
+++ b/standins/engine_main.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-standins::EngineOptions OptionsOf(const settings::Settings& aSettings)
+standins::EngineOptions ToOptions(const settings::Settings& aSettings)
 {
   standins::EngineOptions options;
   options.m_incarnation = aSettings.Text("incarnation");
@@ -44,7 +44,7 @@
       .Build(argc, argv);
   return settings::RunWith(parsed, [&](const settings::Settings& aSettings) {
     return standins::RunStandIn(argv[0], aSettings, [&](net::Loop& aLoop) {
-      return std::make_unique<standins::Engine>(aLoop, OptionsOf(aSettings));
+      return std::make_unique<standins::Engine>(aLoop, ToOptions(aSettings));
     });
   });
 }
--- a/standins/engine_runs.cpp
+++ b/standins/engine_runs.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr std::uint32_t kBytesPerToken = 4;
-constexpr std::size_t kKeptRuns = 2000;
-constexpr std::uint32_t kDefaultTokens = 16;
+constexpr std::size_t kMaxRetainedRuns = 2000;
+constexpr std::uint32_t kDefaultMaxTokens = 16;
 
-json Event(const std::string& aText,
-           std::size_t aOffset,
-           const std::string& aVersion,
-           const std::string& aAttempt)
+json CompletionChunk(const std::string& aText,
+                     std::size_t aOffset,
+                     const std::string& aVersion,
+                     const std::string& aAttempt)
 {
   return { { "object", "text_completion" },
            { "choices", { { { "index", 0 }, { "text", aText }, { "finish_reason", nullptr } } } },
@@ -41,19 +41,20 @@
     SendError(aReply, 400, "more blocks than the prompt has", false);
     return;
   }
-  const std::string refusal = RefusalFor(body);
-  if (!refusal.empty()) {
-    SendError(aReply, refusal == "leaving" ? 503 : 409, refusal, refusal == "attempt is known");
+  const std::string rejection = RejectionReason(body);
+  if (!rejection.empty()) {
+    SendError(
+      aReply, rejection == "leaving" ? 503 : 409, rejection, rejection == "attempt is known");
     return;
   }
   const RunPtr run = MakeRun(body);
   m_runs[run->m_attempt] = run;
-  m_oldRuns.push_back(run->m_attempt);
-  while (m_oldRuns.size() > kKeptRuns) {
-    m_runs.erase(m_oldRuns.front());
-    m_oldRuns.pop_front();
+  m_retainedRuns.push_back(run->m_attempt);
+  while (m_retainedRuns.size() > kMaxRetainedRuns) {
+    m_runs.erase(m_retainedRuns.front());
+    m_retainedRuns.pop_front();
   }
-  m_waiting.emplace(std::pair(run->m_priority, run->m_sequence), run);
+  m_prefillQueue.emplace(std::pair(run->m_priority, run->m_sequence), run);
   AddReader(run, aReply, 0);
   StartNextPrefill();
 }
@@ -68,12 +69,12 @@
   run->m_prompt = aBody.at("prompt").get<std::string>();
   run->m_version = m_answerVersion.empty() ? m_options.m_version : m_answerVersion;
   run->m_priority = aBody.value("priority", std::uint64_t{ 0 });
-  run->m_tokensLeft = std::max(1U, aBody.value("max_tokens", kDefaultTokens));
+  run->m_tokensLeft = std::max(1U, aBody.value("max_tokens", kDefaultMaxTokens));
   run->m_promptTokens = static_cast<std::uint32_t>(run->m_prompt.size() / kBytesPerToken);
   run->m_blocks = aBody.value("x_blocks", std::vector<std::string>{});
   const auto import = m_imports.find(aBody.value("x_import", ""));
   if (import != m_imports.end()) {
-    run->m_imported = import->second.m_values;
+    run->m_importedBlocks = import->second.m_values;
     run->m_importSkip = import->second.m_skip;
     m_imports.erase(import);
   }
@@ -91,7 +92,7 @@
   const RunPtr run = found->second;
   if (aRequest.m_method == "DELETE") {
     run->m_cancelled = true;
-    const bool queued = m_waiting.erase({ run->m_priority, run->m_sequence }) > 0;
+    const bool queued = m_prefillQueue.erase({ run->m_priority, run->m_sequence }) > 0;
     std::erase(m_decoding, run);
     for (const ReplyPtr& reader : run->m_readers) {
       reader->Finish();
@@ -109,8 +110,8 @@
   aReply->StartStream(
     200, { { "Content-Type", "text/event-stream" }, { "X-Attempt", aRun->m_attempt } });
   if (aOffset < aRun->m_text.size()) {
-    aReply->Write(
-      Sse(Event(aRun->m_text.substr(aOffset), aOffset, aRun->m_version, aRun->m_attempt)));
+    aReply->Write(ToServerSentEvent(
+      CompletionChunk(aRun->m_text.substr(aOffset), aOffset, aRun->m_version, aRun->m_attempt)));
   }
   aRun->m_readers.push_back(aReply);
   if (aRun->m_finished) {
@@ -121,37 +122,40 @@
 void Engine::StartNextPrefill()
 {
   const bool full = m_decoding.size() >= m_options.m_maxBatch;
-  if (m_prefilling || m_waiting.empty() || full) {
+  if (m_prefilling || m_prefillQueue.empty() || full) {
     return;
   }
-  const RunPtr run = m_waiting.begin()->second;
-  m_waiting.erase(m_waiting.begin());
+  const RunPtr run = m_prefillQueue.begin()->second;
+  m_prefillQueue.erase(m_prefillQueue.begin());
   m_prefilling = run;
-  ++m_ledger[run->m_request];
+  ++m_executions[run->m_request];
   // What is reused is held from here on: an eviction during the prefill does not touch it.
   for (const std::string& block : run->m_blocks) {
     const std::string value = m_cache.Get(block);
     if (value.empty()) {
       break;
     }
-    run->m_reused.push_back(value);
+    run->m_reusedBlocks.push_back(value);
   }
-  const std::size_t cached = run->m_reused.size();
-  run->m_cached = static_cast<std::uint32_t>(cached) * m_options.m_blockTokens;
+  const std::size_t cached = run->m_reusedBlocks.size();
+  run->m_cachedTokens = static_cast<std::uint32_t>(cached) * m_options.m_blockTokens;
   // An import is of use only if everything before it is there.
-  const std::size_t importEnd = run->m_importSkip + run->m_imported.size();
+  const std::size_t importEnd = run->m_importSkip + run->m_importedBlocks.size();
   if (run->m_importSkip <= cached && importEnd > cached) {
     const auto from = static_cast<std::ptrdiff_t>(cached - run->m_importSkip);
-    run->m_reused.insert(
-      run->m_reused.end(), run->m_imported.begin() + from, run->m_imported.end());
-    run->m_restored = static_cast<std::uint32_t>(importEnd - cached) * m_options.m_blockTokens;
-  }
-  const std::uint32_t known = std::min(run->m_cached + run->m_restored, run->m_promptTokens);
-  const double seconds = (run->m_promptTokens - known) / m_options.m_tokensPerSecond * m_slowness;
+    run->m_reusedBlocks.insert(
+      run->m_reusedBlocks.end(), run->m_importedBlocks.begin() + from, run->m_importedBlocks.end());
+    run->m_restoredTokens =
+      static_cast<std::uint32_t>(importEnd - cached) * m_options.m_blockTokens;
+  }
+  const std::uint32_t reusedTokens =
+    std::min(run->m_cachedTokens + run->m_restoredTokens, run->m_promptTokens);
+  const double seconds =
+    (run->m_promptTokens - reusedTokens) / m_options.m_tokensPerSecond * m_slowness;
   m_prefillTimer = m_loop.After(base::FromSeconds(seconds), [this, run] { FinishPrefill(run); });
 }
 
-std::vector<std::string> Engine::TrueValues(const Run& aRun) const
+std::vector<std::string> Engine::ComputeBlocks(const Run& aRun) const
 {
   std::vector<std::string> values;
   std::string previous = Hash(aRun.m_salt, m_options.m_model + "\n" + aRun.m_version);
@@ -166,18 +170,18 @@
 void Engine::FinishPrefill(const RunPtr& aRun)
 {
   m_prefilling = nullptr;
-  std::vector<std::string> values = TrueValues(*aRun);
+  std::vector<std::string> values = ComputeBlocks(*aRun);
   // What was reused is used as it is, right or wrong: that is what a real engine does.
-  std::string all;
+  std::string digest;
   for (std::size_t i = 0; i < values.size(); ++i) {
-    if (i < aRun->m_reused.size()) {
-      values[i] = aRun->m_reused[i];
+    if (i < aRun->m_reusedBlocks.size()) {
+      values[i] = aRun->m_reusedBlocks[i];
     }
     m_cache.Put(aRun->m_blocks[i], values[i]);
-    all = Hash(all, values[i]);
+    digest = Hash(digest, values[i]);
   }
-  all = Hash(all, aRun->m_prompt);
-  aRun->m_seed = Hash(all, aRun->m_salt + "\n" + m_options.m_model + "\n" + aRun->m_version);
+  digest = Hash(digest, aRun->m_prompt);
+  aRun->m_seed = Hash(digest, aRun->m_salt + "\n" + m_options.m_model + "\n" + aRun->m_version);
   if (!aRun->m_cancelled) {
     m_decoding.push_back(aRun);
     Emit(aRun, Hash(aRun->m_seed, "0").substr(0, kBytesPerToken - 1) + " ");
@@ -189,9 +193,10 @@
 {
   const std::size_t offset = aRun->m_text.size();
   aRun->m_text += aText;
-  ++aRun->m_tokensMade;
+  ++aRun->m_tokensEmitted;
   --aRun->m_tokensLeft;
-  const std::string event = Sse(Event(aText, offset, aRun->m_version, aRun->m_attempt));
+  const std::string event =
+    ToServerSentEvent(CompletionChunk(aText, offset, aRun->m_version, aRun->m_attempt));
   for (const ReplyPtr& reader : aRun->m_readers) {
     reader->Write(event);
   }
@@ -207,24 +212,26 @@
   const std::vector<RunPtr> batch = m_decoding;
   for (const RunPtr& run : batch) {
     Emit(run,
-         Hash(run->m_seed, std::to_string(run->m_tokensMade)).substr(0, kBytesPerToken - 1) + " ");
+         Hash(run->m_seed, std::to_string(run->m_tokensEmitted)).substr(0, kBytesPerToken - 1) +
+           " ");
   }
 }
 
 void Engine::Finish(const RunPtr& aRun)
 {
   aRun->m_finished = true;
-  json last = Event("", aRun->m_text.size(), aRun->m_version, aRun->m_attempt);
+  json last = CompletionChunk("", aRun->m_text.size(), aRun->m_version, aRun->m_attempt);
   last["choices"][0]["finish_reason"] = "length";
-  const std::uint32_t known = std::min(aRun->m_cached + aRun->m_restored, aRun->m_promptTokens);
+  const std::uint32_t reusedTokens =
+    std::min(aRun->m_cachedTokens + aRun->m_restoredTokens, aRun->m_promptTokens);
   last["usage"] = { { "prompt_tokens", aRun->m_promptTokens },
-                    { "completion_tokens", aRun->m_tokensMade },
-                    { "total_tokens", aRun->m_promptTokens + aRun->m_tokensMade },
-                    { "x_cached_tokens", std::min(aRun->m_cached, aRun->m_promptTokens) },
-                    { "x_restored_tokens", aRun->m_restored },
-                    { "x_recomputed_tokens", aRun->m_promptTokens - known } };
+                    { "completion_tokens", aRun->m_tokensEmitted },
+                    { "total_tokens", aRun->m_promptTokens + aRun->m_tokensEmitted },
+                    { "x_cached_tokens", std::min(aRun->m_cachedTokens, aRun->m_promptTokens) },
+                    { "x_restored_tokens", aRun->m_restoredTokens },
+                    { "x_recomputed_tokens", aRun->m_promptTokens - reusedTokens } };
   for (const ReplyPtr& reader : aRun->m_readers) {
-    reader->Write(Sse(last) + "data: [DONE]\n\n");
+    reader->Write(ToServerSentEvent(last) + "data: [DONE]\n\n");
     reader->Finish();
   }
   aRun->m_readers.clear();
--- a/standins/engine_text.hpp
+++ b/standins/engine_text.hpp
@@ -16,7 +16,7 @@
 }
 
 /// One event of an answer that is streamed.
-inline std::string Sse(const nlohmann::json& aEvent)
+inline std::string ToServerSentEvent(const nlohmann::json& aEvent)
 {
   return "data: " + aEvent.dump() + "\n\n";
 }
--- a/standins/platform_log.cpp
+++ b/standins/platform_log.cpp
@@ -42,7 +42,7 @@
     return;
   }
   if (aRequest.m_path.rfind("/hosts", 0) == 0 && aRequest.m_method != "GET") {
-    OnHosts(aRequest, aReply);
+    OnUpdateHosts(aRequest, aReply);
     return;
   }
   if (m_down) {
@@ -72,9 +72,9 @@
 {
   // A few hundred appends a second: later ones queue behind earlier ones.
   const base::TimePoint now = base::MonotonicNow();
-  m_appendFree =
-    std::max(m_appendFree, now) + base::FromSeconds(1.0 / m_options.m_appendsPerSecond);
-  Later(m_appendFree - now + m_slow, [this, aStream, aBody, aReply] {
+  m_nextAppendTime =
+    std::max(m_nextAppendTime, now) + base::FromSeconds(1.0 / m_options.m_appendsPerSecond);
+  RunAfter(m_nextAppendTime - now + m_replyDelay, [this, aStream, aBody, aReply] {
     Stream& stream = m_streams[aStream];
     const std::uint64_t offset = stream.m_next++;
     stream.m_records.push_back({ offset, NowMillis(), aBody });
@@ -82,9 +82,9 @@
     while (stream.m_records.size() > m_options.m_retainedRecords) {
       stream.m_records.pop_front();
     }
-    WakeReaders(stream);
-    if (m_loseReplies > 0) {
-      --m_loseReplies;
+    CompleteLongPolls(stream);
+    if (m_repliesToDrop > 0) {
+      --m_repliesToDrop;
       SendError(aReply, 504, "reply lost", true);
       return;
     }
@@ -92,7 +92,7 @@
   });
 }
 
-json Platform::PageOf(const Stream& aStream, std::uint64_t aFrom) const
+json Platform::MakePage(const Stream& aStream, std::uint64_t aFrom) const
 {
   constexpr std::size_t kPageRecords = 2000;
   json records = json::array();
@@ -119,48 +119,48 @@
   const std::uint64_t wait = QueryNumber(aRequest, "wait_ms", 0);
   Stream& stream = m_streams[aStream];
   if (from < stream.m_next || wait == 0) {
-    Later(m_slow, [this, aStream, from, aReply] {
-      SendJson(aReply, 200, PageOf(m_streams[aStream], from));
+    RunAfter(m_replyDelay, [this, aStream, from, aReply] {
+      SendJson(aReply, 200, MakePage(m_streams[aStream], from));
     });
     return;
   }
-  if (!m_answersHeldReads) {
-    LeaveUnanswered(aReply);
+  if (!m_answersLongPolls) {
+    HoldUnanswered(aReply);
     return;
   }
-  const std::uint64_t id = ++m_waiterIds;
+  const std::uint64_t id = ++m_lastLongPollId;
   const auto timer = m_loop.After(std::chrono::milliseconds(wait), [this, aStream, id] {
-    Stream& waited = m_streams[aStream];
-    const auto found = waited.m_waiters.find(id);
-    SendJson(found->second.m_reply, 200, PageOf(waited, found->second.m_from));
-    m_loop.Post([this, aStream, id] { m_streams[aStream].m_waiters.erase(id); });
+    Stream& polled = m_streams[aStream];
+    const auto found = polled.m_longPolls.find(id);
+    SendJson(found->second.m_reply, 200, MakePage(polled, found->second.m_from));
+    m_loop.Post([this, aStream, id] { m_streams[aStream].m_longPolls.erase(id); });
   });
-  stream.m_waiters.emplace(id, Waiter{ from, aReply, timer });
+  stream.m_longPolls.emplace(id, LongPoll{ from, aReply, timer });
 }
 
-void Platform::LeaveUnanswered(const ReplyPtr& aReply)
+void Platform::HoldUnanswered(const ReplyPtr& aReply)
 {
-  constexpr std::size_t kMost = 4096;
+  constexpr std::size_t kMaxUnanswered = 4096;
   m_unanswered.push_back(aReply);
-  if (m_unanswered.size() > kMost) {
+  if (m_unanswered.size() > kMaxUnanswered) {
     m_unanswered.pop_front();
   }
 }
 
-void Platform::WakeReaders(Stream& aStream)
+void Platform::CompleteLongPolls(Stream& aStream)
 {
-  const auto waiters = std::exchange(aStream.m_waiters, {});
-  for (const auto& [id, waiter] : waiters) {
-    waiter.m_timer->Cancel();
+  const auto polls = std::exchange(aStream.m_longPolls, {});
+  for (const auto& [id, poll] : polls) {
+    poll.m_timer->Cancel();
     if (m_down) {
-      SendError(waiter.m_reply, 503, "down", false);
+      SendError(poll.m_reply, 503, "down", false);
     } else {
-      SendJson(waiter.m_reply, 200, PageOf(aStream, waiter.m_from));
+      SendJson(poll.m_reply, 200, MakePage(aStream, poll.m_from));
     }
   }
 }
 
-void Platform::OnHosts(const net::HttpRequest& aRequest, const ReplyPtr& aReply)
+void Platform::OnUpdateHosts(const net::HttpRequest& aRequest, const ReplyPtr& aReply)
 {
   const json body = ParseBody(aRequest.m_body);
   for (const json& row : body.at("hosts")) {
@@ -171,12 +171,12 @@
       m_hosts[name] = row;
     }
   }
-  json shown = json::array();
+  json published = json::array();
   for (const auto& [name, row] : m_hosts) {
-    shown.push_back(row);
+    published.push_back(row);
   }
-  Later(m_options.m_hostListLag, [this, shown] {
-    m_shownHosts = shown;
+  RunAfter(m_options.m_hostListLag, [this, published] {
+    m_publishedHosts = published;
     ++m_hostsVersion;
   });
   SendJson(aReply, 200, json::object());
@@ -190,16 +190,16 @@
     return;
   }
   const net::Headers headers{ { "Content-Type", "application/json" }, { "ETag", tag } };
-  aReply->Send(200, headers, json{ { "hosts", m_shownHosts } }.dump());
+  aReply->Send(200, headers, json{ { "hosts", m_publishedHosts } }.dump());
 }
 
 void Platform::OnWeights(const ReplyPtr& aReply)
 {
-  ++m_downloads;
-  const std::size_t over =
-    m_downloads > m_options.m_weightSlots ? m_downloads - m_options.m_weightSlots : 0;
-  Later(m_options.m_weightTime * static_cast<int>(1 + over), [this, aReply] {
-    --m_downloads;
+  ++m_activeDownloads;
+  const std::size_t excess =
+    m_activeDownloads > m_options.m_weightSlots ? m_activeDownloads - m_options.m_weightSlots : 0;
+  RunAfter(m_options.m_weightTime * static_cast<int>(1 + excess), [this, aReply] {
+    --m_activeDownloads;
     SendJson(aReply, 200, json::object());
   });
 }
@@ -207,24 +207,24 @@
 void Platform::OnFaults(const json& aBody, const ReplyPtr& aReply)
 {
   m_down = aBody.value("down", m_down);
-  m_loseReplies = aBody.value("lose_replies", m_loseReplies);
-  m_slow = std::chrono::milliseconds(aBody.value("slow_ms", m_slow.count() / 1000));
+  m_repliesToDrop = aBody.value("lose_replies", m_repliesToDrop);
+  m_replyDelay = std::chrono::milliseconds(aBody.value("slow_ms", m_replyDelay.count() / 1000));
   m_options.m_retainedRecords = aBody.value("retained_records", m_options.m_retainedRecords);
-  m_answersHeldReads = aBody.value("answer_held_reads", m_answersHeldReads);
+  m_answersLongPolls = aBody.value("answer_held_reads", m_answersLongPolls);
   for (auto& [name, stream] : m_streams) {
     if (m_down) {
-      WakeReaders(stream);
-    } else if (!m_answersHeldReads) {
-      for (const auto& [id, waiter] : std::exchange(stream.m_waiters, {})) {
-        waiter.m_timer->Cancel();
-        LeaveUnanswered(waiter.m_reply);
+      CompleteLongPolls(stream);
+    } else if (!m_answersLongPolls) {
+      for (const auto& [id, poll] : std::exchange(stream.m_longPolls, {})) {
+        poll.m_timer->Cancel();
+        HoldUnanswered(poll.m_reply);
       }
     }
   }
   SendJson(aReply, 200, json::object());
 }
 
-void Platform::Later(base::Duration aDelay, std::function<void()> aCall)
+void Platform::RunAfter(base::Duration aDelay, std::function<void()> aCall)
 {
   if (aDelay <= base::Duration::zero()) {
     aCall();
--- a/standins/platform_log.hpp
+++ b/standins/platform_log.hpp
@@ -32,7 +32,7 @@
     std::int64_t m_timeMillis = 0;
     std::string m_body;
   };
-  struct Waiter
+  struct LongPoll
   {
     std::uint64_t m_from = 0;
     ReplyPtr m_reply;
@@ -42,37 +42,37 @@
   {
     std::uint64_t m_next = 1;
     std::deque<Record> m_records;
-    std::map<std::uint64_t, Waiter> m_waiters;
+    std::map<std::uint64_t, LongPoll> m_longPolls;
   };
 
   void OnAppend(const std::string& aStream, const std::string& aBody, const ReplyPtr& aReply);
   void OnRead(const std::string& aStream,
               const ferrytray::net::HttpRequest& aRequest,
               const ReplyPtr& aReply);
-  void OnHosts(const ferrytray::net::HttpRequest& aRequest, const ReplyPtr& aReply);
+  void OnUpdateHosts(const ferrytray::net::HttpRequest& aRequest, const ReplyPtr& aReply);
   void SendHosts(const ferrytray::net::HttpRequest& aRequest, const ReplyPtr& aReply);
   void OnWeights(const ReplyPtr& aReply);
   void OnFaults(const json& aBody, const ReplyPtr& aReply);
-  [[nodiscard]] json PageOf(const Stream& aStream, std::uint64_t aFrom) const;
-  void LeaveUnanswered(const ReplyPtr& aReply);
-  void WakeReaders(Stream& aStream);
-  void Later(ferrytray::base::Duration aDelay, std::function<void()> aCall);
+  [[nodiscard]] json MakePage(const Stream& aStream, std::uint64_t aFrom) const;
+  void HoldUnanswered(const ReplyPtr& aReply);
+  void CompleteLongPolls(Stream& aStream);
+  void RunAfter(ferrytray::base::Duration aDelay, std::function<void()> aCall);
 
   ferrytray::net::Loop& m_loop;
   PlatformOptions m_options;
   std::map<std::string, Stream> m_streams;
   std::map<std::string, json> m_hosts;
-  json m_shownHosts = json::array();
+  json m_publishedHosts = json::array();
   std::uint64_t m_hostsVersion = 1;
-  ferrytray::base::TimePoint m_appendFree{};
+  ferrytray::base::TimePoint m_nextAppendTime{};
   std::uint64_t m_appends = 0;
-  std::uint64_t m_waiterIds = 0;
-  std::size_t m_downloads = 0;
+  std::uint64_t m_lastLongPollId = 0;
+  std::size_t m_activeDownloads = 0;
   std::deque<ReplyPtr> m_unanswered; ///< kept so that their connections stay open
   bool m_down = false;
-  bool m_answersHeldReads = true;
-  int m_loseReplies = 0;
-  ferrytray::base::Duration m_slow{};
+  bool m_answersLongPolls = true;
+  int m_repliesToDrop = 0;
+  ferrytray::base::Duration m_replyDelay{};
 };
 
 } // namespace standins
--- a/standins/platform_main.cpp
+++ b/standins/platform_main.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-standins::PlatformOptions OptionsOf(const settings::Settings& aSettings)
+standins::PlatformOptions ToOptions(const settings::Settings& aSettings)
 {
   standins::PlatformOptions options;
   options.m_retainedRecords = aSettings.Count("retained-records");
@@ -32,7 +32,7 @@
       .Build(argc, argv);
   return settings::RunWith(parsed, [&](const settings::Settings& aSettings) {
     return standins::RunStandIn(argv[0], aSettings, [&](net::Loop& aLoop) {
-      return std::make_unique<standins::Platform>(aLoop, OptionsOf(aSettings));
+      return std::make_unique<standins::Platform>(aLoop, ToOptions(aSettings));
     });
   });
 }
--- a/standins/proxy_main.cpp
+++ b/standins/proxy_main.cpp
@@ -28,11 +28,11 @@
 };
 
 /// One connection through the proxy.
-class Passage : public std::enable_shared_from_this<Passage>
+class ProxyConnection : public std::enable_shared_from_this<ProxyConnection>
 {
 public:
-  Passage(tcp::socket aCaller, asio::io_context& aContext, Faults& aFaults)
-    : m_caller(std::move(aCaller))
+  ProxyConnection(tcp::socket aClient, asio::io_context& aContext, Faults& aFaults)
+    : m_client(std::move(aClient))
     , m_server(aContext)
     , m_faults(aFaults)
   {
@@ -46,10 +46,10 @@
     m_server.async_connect(aTo, [self = shared_from_this()](const asio::error_code& aError) {
       if (!aError) {
         asio::error_code ignored;
-        self->m_caller.set_option(tcp::no_delay(true), ignored);
+        self->m_client.set_option(tcp::no_delay(true), ignored);
         self->m_server.set_option(tcp::no_delay(true), ignored);
-        self->Pass(self->m_caller, self->m_server, self->m_up, false);
-        self->Pass(self->m_server, self->m_caller, self->m_down, true);
+        self->Relay(self->m_client, self->m_server, self->m_requestBuffer, false);
+        self->Relay(self->m_server, self->m_client, self->m_replyBuffer, true);
       }
     });
   }
@@ -57,14 +57,14 @@
   void Close()
   {
     asio::error_code ignored;
-    m_caller.close(ignored);
+    m_client.close(ignored);
     m_server.close(ignored);
   }
 
 private:
   using Buffer = std::array<char, 16384>;
 
-  void Pass(tcp::socket& aFrom, tcp::socket& aTo, Buffer& aBuffer, bool aIsReply)
+  void Relay(tcp::socket& aFrom, tcp::socket& aTo, Buffer& aBuffer, bool aIsReply)
   {
     aFrom.async_read_some(asio::buffer(aBuffer),
                           [self = shared_from_this(), &aFrom, &aTo, &aBuffer, aIsReply](
@@ -84,7 +84,7 @@
                bool aIsReply)
   {
     if (m_faults.m_halfOpen || (aIsReply && m_faults.m_mute)) {
-      Pass(aFrom, aTo, aBuffer, aIsReply);
+      Relay(aFrom, aTo, aBuffer, aIsReply);
       return;
     }
     if (aIsReply && m_faults.m_dropReplies > 0) {
@@ -94,13 +94,13 @@
     }
     bool cutAfter = false;
     if (aIsReply && m_faults.m_cutReplyAfter >= 0) {
-      m_replied += static_cast<long>(aSize);
-      cutAfter = m_replied > m_faults.m_cutReplyAfter;
+      m_replyBytes += static_cast<long>(aSize);
+      cutAfter = m_replyBytes > m_faults.m_cutReplyAfter;
     }
     if (cutAfter) {
       m_faults.m_cutReplyAfter = -1;
     }
-    auto timer = std::make_shared<asio::steady_timer>(m_caller.get_executor(), m_faults.m_delay);
+    auto timer = std::make_shared<asio::steady_timer>(m_client.get_executor(), m_faults.m_delay);
     timer->async_wait(
       [self = shared_from_this(), timer, &aFrom, &aTo, &aBuffer, aSize, aIsReply, cutAfter](
         const auto&) { self->Forward(aFrom, aTo, aBuffer, aSize, aIsReply, cutAfter); });
@@ -121,16 +121,16 @@
                           self->Close();
                           return;
                         }
-                        self->Pass(aFrom, aTo, aBuffer, aIsReply);
+                        self->Relay(aFrom, aTo, aBuffer, aIsReply);
                       });
   }
 
-  tcp::socket m_caller;
+  tcp::socket m_client;
   tcp::socket m_server;
   Faults& m_faults;
-  Buffer m_up{};
-  Buffer m_down{};
-  long m_replied = 0;
+  Buffer m_requestBuffer{};
+  Buffer m_replyBuffer{};
+  long m_replyBytes = 0;
 };
 
 /// Passes TCP connections and UDP datagrams on, with faults.
@@ -141,8 +141,8 @@
     : m_context(aContext)
     , m_acceptor(aContext)
     , m_udp(aContext)
-    , m_udpOut(aContext, { aTo.address(), 0 })
-    , m_to(std::move(aTo))
+    , m_udpSender(aContext, { aTo.address(), 0 })
+    , m_target(std::move(aTo))
   {
     Listen();
     Accept();
@@ -161,12 +161,12 @@
     m_faults.m_dropReplies = aBody.value("drop_replies", m_faults.m_dropReplies);
     m_faults.m_cutReplyAfter = aBody.value("cut_reply_after", m_faults.m_cutReplyAfter);
     if (m_faults.m_cut) {
-      for (const auto& weak : m_passages) {
-        if (const auto passage = weak.lock()) {
-          passage->Close();
+      for (const auto& weak : m_connections) {
+        if (const auto connection = weak.lock()) {
+          connection->Close();
         }
       }
-      m_passages.clear();
+      m_connections.clear();
     }
   }
 
@@ -174,26 +174,27 @@
   /// Finds a port that is free for both; other programs' datagram sockets may have the first ones.
   void Listen()
   {
-    constexpr int kTries = 50;
-    asio::error_code taken;
-    for (int i = 0; i < kTries; ++i) {
-      m_acceptor = tcp::acceptor(m_context, { m_to.address(), 0 });
+    constexpr int kMaxBindAttempts = 50;
+    asio::error_code bindError;
+    for (int i = 0; i < kMaxBindAttempts; ++i) {
+      m_acceptor = tcp::acceptor(m_context, { m_target.address(), 0 });
       m_udp = udp::socket(m_context, udp::v4());
-      if (!m_udp.bind({ m_to.address(), Port() }, taken)) {
+      if (!m_udp.bind({ m_target.address(), Port() }, bindError)) {
         return;
       }
     }
-    throw asio::system_error(taken);
+    throw asio::system_error(bindError);
   }
 
   void Accept()
   {
     m_acceptor.async_accept([this](const asio::error_code& aError, tcp::socket aSocket) {
       if (!aError) {
-        auto passage = std::make_shared<Passage>(std::move(aSocket), m_context, m_faults);
-        std::erase_if(m_passages, [](const auto& aWeak) { return aWeak.expired(); });
-        m_passages.push_back(passage);
-        passage->Start(m_to);
+        auto connection =
+          std::make_shared<ProxyConnection>(std::move(aSocket), m_context, m_faults);
+        std::erase_if(m_connections, [](const auto& aWeak) { return aWeak.expired(); });
+        m_connections.push_back(connection);
+        connection->Start(m_target);
       }
       Accept();
     });
@@ -202,15 +203,17 @@
   void Receive()
   {
     m_udp.async_receive_from(
-      asio::buffer(m_datagram), m_from, [this](const asio::error_code& aError, std::size_t aSize) {
-        const bool passes = !aError && !m_faults.m_cut && !m_faults.m_halfOpen;
-        if (passes) {
+      asio::buffer(m_datagram),
+      m_datagramSender,
+      [this](const asio::error_code& aError, std::size_t aSize) {
+        const bool isForwarded = !aError && !m_faults.m_cut && !m_faults.m_halfOpen;
+        if (isForwarded) {
           auto bytes = std::make_shared<std::string>(m_datagram.data(), aSize);
           auto timer = std::make_shared<asio::steady_timer>(m_context, m_faults.m_delay);
           timer->async_wait([this, bytes, timer](const auto&) {
             asio::error_code ignored;
-            m_udpOut.send_to(
-              asio::buffer(*bytes), udp::endpoint(m_to.address(), m_to.port()), 0, ignored);
+            m_udpSender.send_to(
+              asio::buffer(*bytes), udp::endpoint(m_target.address(), m_target.port()), 0, ignored);
           });
         }
         Receive();
@@ -220,12 +223,12 @@
   asio::io_context& m_context;
   tcp::acceptor m_acceptor;
   udp::socket m_udp;
-  udp::socket m_udpOut;
-  udp::endpoint m_from;
+  udp::socket m_udpSender;
+  udp::endpoint m_datagramSender;
   std::array<char, 65536> m_datagram{};
-  tcp::endpoint m_to;
+  tcp::endpoint m_target;
   Faults m_faults;
-  std::vector<std::weak_ptr<Passage>> m_passages;
+  std::vector<std::weak_ptr<ProxyConnection>> m_connections;
 };
 
 } // namespace
--- a/standins/service_main.cpp
+++ b/standins/service_main.cpp
@@ -12,16 +12,16 @@
 class Service
 {
 public:
-  explicit Service(net::Loop& aLoop, base::Duration aWork)
+  explicit Service(net::Loop& aLoop, base::Duration aWorkTime)
     : m_loop(aLoop)
-    , m_work(aWork)
+    , m_workTime(aWorkTime)
   {
   }
 
   void Handle(const net::HttpRequest& aRequest, const ReplyPtr& aReply)
   {
     if (aRequest.m_path == "/ledger") {
-      SendJson(aReply, 200, { { "executions", m_ledger } });
+      SendJson(aReply, 200, { { "executions", m_executions } });
       return;
     }
     if (aRequest.m_path == "/admin/faults") {
@@ -38,12 +38,12 @@
       std::_Exit(1);
     }
     const std::string request(aRequest.Header("X-Request-Id"));
-    const int count = ++m_ledger[request];
+    const int count = ++m_executions[request];
     const json answer{ { "echo", aRequest.m_body },
                        { "path", aRequest.m_path },
                        { "execution", count } };
     auto timer = std::make_shared<net::TimerHandle>();
-    *timer = m_loop.After(m_work, [aReply, answer, timer] {
+    *timer = m_loop.After(m_workTime, [aReply, answer, timer] {
       SendJson(aReply, 200, answer);
       timer->reset();
     });
@@ -51,8 +51,8 @@
 
 private:
   net::Loop& m_loop;
-  base::Duration m_work;
-  std::map<std::string, int> m_ledger;
+  base::Duration m_workTime;
+  std::map<std::string, int> m_executions;
   bool m_leaving = false;
 };
 
--- a/standins/standin.hpp
+++ b/standins/standin.hpp
@@ -40,7 +40,7 @@
 }
 
 /// A handler that answers 400 instead of throwing on odd input.
-inline ferrytray::net::HttpHandler Guarded(ferrytray::net::HttpHandler aHandler)
+inline ferrytray::net::HttpHandler ReplyOnException(ferrytray::net::HttpHandler aHandler)
 {
   return [handler = std::move(aHandler)](ferrytray::net::HttpRequest aRequest, ReplyPtr aReply) {
     try {
@@ -64,7 +64,7 @@
   }
   options.m_listen = *address;
   const auto server =
-    ferrytray::net::HttpServer::Create(aLoop, options, Guarded(std::move(aHandler)));
+    ferrytray::net::HttpServer::Create(aLoop, options, ReplyOnException(std::move(aHandler)));
   if (!server) {
     std::cerr << server.error().m_message << "\n";
     return ferrytray::settings::kExitFailed;
@@ -76,15 +76,15 @@
 }
 
 /// Runs a stand-in until it is ended.
-/// @param aMake builds it on a loop
-template<typename Make>
+/// @param aFactory builds it on a loop
+template<typename Factory>
 int RunStandIn(const char* aProgram,
                const ferrytray::settings::Settings& aSettings,
-               const Make& aMake)
+               const Factory& aFactory)
 {
   ferrytray::telemetry::StartLogging(aProgram);
   ferrytray::net::Loop loop;
-  const auto standIn = aMake(loop);
+  const auto standIn = aFactory(loop);
   return Serve(
     loop, aSettings.Text("listen"), [&](ferrytray::net::HttpRequest aRequest, const auto& aReply) {
       standIn->Handle(std::move(aRequest), aReply);
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -44,7 +44,7 @@
              200,
              { { "blocks", m_blocks.size() },
                { "staged", m_staged.size() },
-               { "bytes_moved", m_bytesMoved } });
+               { "bytes_moved", m_bytesTransferred } });
   } else if (path == "/admin/faults") {
     OnFaults(body, aReply);
   } else {
@@ -77,7 +77,7 @@
   SendJson(aReply,
            200,
            { { "generations", generations },
-             { "link_queue_ms", LinkQueue().count() / 1000 },
+             { "link_queue_ms", LinkQueueDelay().count() / 1000 },
              { "bytes_per_second",
                disk ? m_options.m_diskBytesPerSecond : m_options.m_linkBytesPerSecond },
              { "free_bytes", freeBlocks * m_options.m_bytesPerBlock },
@@ -96,7 +96,7 @@
     const Block& block = found->second;
     disk = disk || block.m_onDisk;
     const std::string value =
-      m_truncate ? block.m_value.substr(0, block.m_value.size() / 2) : block.m_value;
+      m_truncateReads ? block.m_value.substr(0, block.m_value.size() / 2) : block.m_value;
     rows.push_back({ { "block", name },
                      { "value", value },
                      { "length", block.m_length },
@@ -150,9 +150,9 @@
   std::size_t committed = 0;
   for (const json& row : staged->second) {
     const std::string value = row.at("value").get<std::string>();
-    const bool whole = value.size() == row.at("length").get<std::size_t>() &&
-                       Checksum(value) == row.at("checksum").get<std::string>();
-    if (!whole) {
+    const bool intact = value.size() == row.at("length").get<std::size_t>() &&
+                        Checksum(value) == row.at("checksum").get<std::string>();
+    if (!intact) {
       break;
     }
     const auto [entry, added] = m_blocks.try_emplace(row.at("block").get<std::string>());
@@ -161,21 +161,21 @@
       entry->second = {
         value, value.size(), Checksum(value), ++m_generation, aBody.value("worth", 0.0), false
       };
-      ++m_inMemory;
+      ++m_memoryBlockCount;
     }
     ++committed;
   }
   m_staged.erase(staged);
-  MakeRoom();
+  EvictExcessBlocks();
   SendJson(aReply, 200, { { "committed", committed } });
 }
 
-void Store::MakeRoom()
+void Store::EvictExcessBlocks()
 {
   const auto lessWorth = [](const auto& aLeft, const auto& aRight) {
     return aLeft.second.m_worth < aRight.second.m_worth;
   };
-  while (m_inMemory > m_options.m_memoryBlocks) {
+  while (m_memoryBlockCount > m_options.m_memoryBlocks) {
     auto lowest = m_blocks.end();
     for (auto it = m_blocks.begin(); it != m_blocks.end(); ++it) {
       if (!it->second.m_onDisk && (lowest == m_blocks.end() || lessWorth(*it, *lowest))) {
@@ -183,11 +183,11 @@
       }
     }
     lowest->second.m_onDisk = true;
-    --m_inMemory;
+    --m_memoryBlockCount;
   }
   while (m_blocks.size() > m_options.m_memoryBlocks + m_options.m_diskBlocks) {
     const auto lowest = std::min_element(m_blocks.begin(), m_blocks.end(), lessWorth);
-    m_inMemory -= lowest->second.m_onDisk ? 0 : 1;
+    m_memoryBlockCount -= lowest->second.m_onDisk ? 0 : 1;
     m_blocks.erase(lowest);
   }
 }
@@ -197,7 +197,7 @@
   for (const std::string name : aBody.at("blocks")) {
     const auto found = m_blocks.find(name);
     if (found != m_blocks.end()) {
-      m_inMemory -= found->second.m_onDisk ? 0 : 1;
+      m_memoryBlockCount -= found->second.m_onDisk ? 0 : 1;
       m_blocks.erase(found);
     }
   }
@@ -206,30 +206,30 @@
 
 void Store::OnFaults(const json& aBody, const ReplyPtr& aReply)
 {
-  m_truncate = aBody.value("truncate", m_truncate);
+  m_truncateReads = aBody.value("truncate", m_truncateReads);
   m_freeOnRead = aBody.value("free_on_read", m_freeOnRead);
   m_full = aBody.value("full", m_full);
   m_options.m_linkBytesPerSecond = aBody.value("bytes_per_second", m_options.m_linkBytesPerSecond);
   if (aBody.value("free_all", false)) {
     m_blocks.clear();
-    m_inMemory = 0;
+    m_memoryBlockCount = 0;
   }
   SendJson(aReply, 200, json::object());
 }
 
-base::Duration Store::LinkQueue() const
+base::Duration Store::LinkQueueDelay() const
 {
-  return std::max(m_linkFree - base::MonotonicNow(), base::Duration::zero());
+  return std::max(m_linkIdleAt - base::MonotonicNow(), base::Duration::zero());
 }
 
 void Store::Transfer(double aBytes, bool aFromDisk, std::function<void()> aDone)
 {
   const double speed = aFromDisk ? m_options.m_diskBytesPerSecond : m_options.m_linkBytesPerSecond;
-  const base::TimePoint start = std::max(m_linkFree, base::MonotonicNow());
-  m_linkFree = start + base::FromSeconds(aBytes / speed);
-  m_bytesMoved += aBytes;
+  const base::TimePoint start = std::max(m_linkIdleAt, base::MonotonicNow());
+  m_linkIdleAt = start + base::FromSeconds(aBytes / speed);
+  m_bytesTransferred += aBytes;
   auto timer = std::make_shared<net::TimerHandle>();
-  *timer = m_loop.After(m_linkFree - base::MonotonicNow(), [done = std::move(aDone), timer] {
+  *timer = m_loop.After(m_linkIdleAt - base::MonotonicNow(), [done = std::move(aDone), timer] {
     done();
     timer->reset();
   });
--- a/standins/store.hpp
+++ b/standins/store.hpp
@@ -45,18 +45,18 @@
 
   /// Books a transfer on the link and calls when it is through.
   void Transfer(double aBytes, bool aFromDisk, std::function<void()> aDone);
-  [[nodiscard]] ferrytray::base::Duration LinkQueue() const;
-  void MakeRoom();
+  [[nodiscard]] ferrytray::base::Duration LinkQueueDelay() const;
+  void EvictExcessBlocks();
 
   ferrytray::net::Loop& m_loop;
   StoreOptions m_options;
   std::map<std::string, Block> m_blocks;
   std::map<std::string, json> m_staged;
-  std::size_t m_inMemory = 0;
+  std::size_t m_memoryBlockCount = 0;
   std::uint64_t m_generation = 0;
-  ferrytray::base::TimePoint m_linkFree{};
-  double m_bytesMoved = 0;
-  bool m_truncate = false;
+  ferrytray::base::TimePoint m_linkIdleAt{};
+  double m_bytesTransferred = 0;
+  bool m_truncateReads = false;
   bool m_freeOnRead = false;
   bool m_full = false;
 };
--- a/standins/store_main.cpp
+++ b/standins/store_main.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-standins::StoreOptions OptionsOf(const settings::Settings& aSettings)
+standins::StoreOptions ToOptions(const settings::Settings& aSettings)
 {
   standins::StoreOptions options;
   options.m_memoryBlocks = aSettings.Count("memory-blocks");
@@ -32,7 +32,7 @@
       .Build(argc, argv);
   return settings::RunWith(parsed, [&](const settings::Settings& aSettings) {
     return standins::RunStandIn(argv[0], aSettings, [&](net::Loop& aLoop) {
-      return std::make_unique<standins::Store>(aLoop, OptionsOf(aSettings));
+      return std::make_unique<standins::Store>(aLoop, ToOptions(aSettings));
     });
   });
 }
