--- a/tests/integration/client.cpp
+++ b/tests/integration/client.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr base::Duration kLongLimit = std::chrono::seconds(60);
-constexpr base::Duration kBeforeDuring = std::chrono::milliseconds(30);
+constexpr base::Duration kRequestTimeout = std::chrono::seconds(60);
+constexpr base::Duration kAfterStartDelay = std::chrono::milliseconds(30);
 
 net::ClientRequest ToRequest(const Call& aCall)
 {
@@ -18,7 +18,7 @@
   request.m_url = aCall.m_url;
   request.m_body = aCall.m_body;
   request.m_headers = aCall.m_headers;
-  request.m_timeout = kLongLimit;
+  request.m_timeout = kRequestTimeout;
   request.m_ownConnection = true;
   return request;
 }
@@ -39,21 +39,21 @@
 
 } // namespace
 
-int Answer::Code() const
+int Response::ErrorCode() const
 {
   const json body = Json();
   const bool isError = body.is_object() && body.contains("error");
   return isError ? body["error"].value("code", 0) : 0;
 }
 
-std::string Answer::Run() const
+std::string Response::RunState() const
 {
   const json body = Json();
   const bool isError = body.is_object() && body.contains("error");
   return isError ? body["error"].value("run", "") : "";
 }
 
-std::string Answer::Text() const
+std::string Response::Text() const
 {
   const json body = Json();
   if (!body.is_object()) {
@@ -62,47 +62,48 @@
   return body.contains("choices") ? body["choices"][0].value("text", "") : "";
 }
 
-std::vector<Answer> SendAll(const std::vector<Call>& aCalls, const std::function<void()>& aDuring)
+std::vector<Response> SendAll(const std::vector<Call>& aCalls,
+                              const std::function<void()>& aAfterStart)
 {
   net::Loop loop;
   const auto http = net::HttpClient::Create(loop);
-  std::vector<Answer> answers(aCalls.size());
+  std::vector<Response> responses(aCalls.size());
   // Ends when every call has ended and what is to be done meanwhile was done.
-  std::size_t left = aCalls.size() + 1;
-  const auto endOne = [&] {
-    if (--left == 0) {
+  std::size_t remaining = aCalls.size() + 1;
+  const auto finishOne = [&] {
+    if (--remaining == 0) {
       loop.Stop();
     }
   };
   for (std::size_t i = 0; i < aCalls.size(); ++i) {
     http->Fetch(ToRequest(aCalls[i]),
                 [&, i](const net::ClientOutcome& aOutcome, std::string aBody) {
-                  answers[i] = { aOutcome.m_status, std::move(aBody), aOutcome.m_end };
-                  endOne();
+                  responses[i] = { aOutcome.m_status, std::move(aBody), aOutcome.m_end };
+                  finishOne();
                 });
   }
-  const base::Duration before = aDuring ? kBeforeDuring : base::Duration::zero();
-  const auto timer = loop.After(before, [&] {
-    if (aDuring) {
-      aDuring();
+  const base::Duration startDelay = aAfterStart ? kAfterStartDelay : base::Duration::zero();
+  const auto timer = loop.After(startDelay, [&] {
+    if (aAfterStart) {
+      aAfterStart();
     }
-    endOne();
+    finishOne();
   });
   loop.Run();
-  return answers;
+  return responses;
 }
 
-Answer Send(const Call& aCall)
+Response Send(const Call& aCall)
 {
   return SendAll({ aCall }).front();
 }
 
-Answer Post(const std::string& aUrl, const json& aBody)
+Response Post(const std::string& aUrl, const json& aBody)
 {
   return Send({ "POST", aUrl, aBody.dump(), {} });
 }
 
-Answer Get(const std::string& aUrl)
+Response Get(const std::string& aUrl)
 {
   return Send({ "GET", aUrl, "", {} });
 }
--- a/tests/integration/client.hpp
+++ b/tests/integration/client.hpp
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 /// One call's answer.
-struct Answer
+struct Response
 {
   int m_status = 0;
   std::string m_body;
@@ -23,8 +23,8 @@
 
   /// The body as JSON; null when it is anything else.
   json Json() const { return json::parse(m_body, nullptr, false); }
-  int Code() const;
-  std::string Run() const;
+  int ErrorCode() const;
+  std::string RunState() const;
   /// The answer's text, of a whole answer or of a stream.
   std::string Text() const;
 };
@@ -39,12 +39,12 @@
 };
 
 /// Makes a call and waits for its end.
-Answer Send(const Call& aCall);
-/// Makes many calls at the same time. @param aDuring run once when all have been started
-std::vector<Answer> SendAll(const std::vector<Call>& aCalls,
-                            const std::function<void()>& aDuring = {});
+Response Send(const Call& aCall);
+/// Makes many calls at the same time. @param aAfterStart run once when all have been started
+std::vector<Response> SendAll(const std::vector<Call>& aCalls,
+                              const std::function<void()>& aAfterStart = {});
 /// POSTs JSON to a stand-in's control.
-Answer Post(const std::string& aUrl, const json& aBody);
-Answer Get(const std::string& aUrl);
+Response Post(const std::string& aUrl, const json& aBody);
+Response Get(const std::string& aUrl);
 
 } // namespace integration
--- a/tests/integration/control_test.cpp
+++ b/tests/integration/control_test.cpp
@@ -19,7 +19,7 @@
 
 json StatusOf(const EntryHost& aHost)
 {
-  return Get(aHost.Keeper() + "/status").Json();
+  return Get(aHost.KeeperUrl() + "/status").Json();
 }
 
 } // namespace
@@ -41,14 +41,14 @@
   }
 
   /// A call of the plain service with another key.
-  Answer AskWith(const std::string& aKey)
+  Response SendWithKey(const std::string& aKey)
   {
-    Call call = CallService(Host("h1"), "look");
+    Call call = MakeServiceCall(Host("h1"), "look");
     call.m_headers = { { "Authorization", "Bearer " + aKey } };
     return Send(call);
   }
 
-  std::uint64_t OffsetOn(const std::string& aHost, const std::string& aScope)
+  std::uint64_t ScopeOffsetOn(const std::string& aHost, const std::string& aScope)
   {
     const json status = StatusOf(Host(aHost));
     const json scopes =
@@ -57,140 +57,141 @@
   }
 };
 
-TEST(Control, OfRacingOperatorsOneWinsAndEveryHostAgrees)
+TEST(Control, ConcurrentAppliesAreSerializedAndHostsConverge)
 {
   AddHosts(3);
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
+  m_deployment.StartDeployment();
   int accepted = 0;
   int rejected = 0;
   std::vector<std::thread> operators;
-  std::vector<Finished> results(12);
+  std::vector<ProcessResult> results(12);
   for (std::size_t i = 0; i < results.size(); ++i) {
     operators.emplace_back([&, i] {
       results[i] = m_deployment.Apply(AccountFile("race", 1.0 + static_cast<double>(i)),
                                       "race" + std::to_string(i) + ".yaml");
     });
   }
-  for (std::thread& each : operators) {
-    each.join();
+  for (std::thread& operatorThread : operators) {
+    operatorThread.join();
   }
-  for (const Finished& result : results) {
+  for (const ProcessResult& result : results) {
     accepted += result.m_output.find("accepted at offset") != std::string::npos ? 1 : 0;
     rejected += result.m_output.find("error 7008") != std::string::npos ? 1 : 0;
   }
   CHECK(accepted >= 1);
   LONGS_EQUAL(12, accepted + rejected);
-  const std::uint64_t offset = OffsetOn("h1", "race");
-  CHECK(
-    WaitFor([&] { return OffsetOn("h2", "race") == offset && OffsetOn("h3", "race") == offset; }));
+  const std::uint64_t offset = ScopeOffsetOn("h1", "race");
+  CHECK(WaitFor([&] {
+    return ScopeOffsetOn("h2", "race") == offset && ScopeOffsetOn("h3", "race") == offset;
+  }));
 }
 
-TEST(Control, ApplySurvivesALostReply)
+TEST(Control, ApplySucceedsWhenAnAppendReplyIsLost)
 {
   AddHosts(2);
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
-  m_deployment.PlatformFaults({ { "lose_replies", 1 } });
-  const Finished applied = m_deployment.Apply(AccountFile("lost", 3));
+  m_deployment.StartDeployment();
+  m_deployment.SetPlatformFaults({ { "lose_replies", 1 } });
+  const ProcessResult applied = m_deployment.Apply(AccountFile("lost", 3));
   CHECK(applied.m_output.find("accepted at offset") != std::string::npos);
   CHECK(applied.m_output.find("in force on 2 of 2 hosts") != std::string::npos);
 }
 
-TEST(Control, AHostStartsFromAPeerWhileTheLogIsAway)
+TEST(Control, ANewHostLoadsConfigurationFromAPeerDuringALogOutage)
 {
   AddHosts(2);
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
-  const std::uint64_t offset = OffsetOn("h1", "standard");
-  m_deployment.PlatformFaults({ { "down", true } });
+  m_deployment.StartDeployment();
+  const std::uint64_t offset = ScopeOffsetOn("h1", "standard");
+  m_deployment.SetPlatformFaults({ { "down", true } });
   m_deployment.AddHost("h3", "z1", { "--seeds", Host("h1").m_keeper.At("gossip") });
-  CHECK(WaitFor([&] { return OffsetOn("h3", "standard") == offset; }));
-  CHECK(Get(Host("h3").Keeper() + "/readyz").m_status == 200);
-  LONGS_EQUAL(200, Send(Ask(Host("h1"), "still served")).m_status);
-  const Finished refused = m_deployment.Apply(AccountFile("late", 3));
+  CHECK(WaitFor([&] { return ScopeOffsetOn("h3", "standard") == offset; }));
+  CHECK(Get(Host("h3").KeeperUrl() + "/readyz").m_status == 200);
+  LONGS_EQUAL(200, Send(MakeCompletionCall(Host("h1"), "still served")).m_status);
+  const ProcessResult refused = m_deployment.Apply(AccountFile("late", 3));
   CHECK(refused.m_exitCode != 0);
 }
 
 // A key may have come with a file that this gate has not heard of. Found by looking for what the
 // feeds of the users' platform had: the gate took its keeper's silence for no news, however long,
 // and a keeper told its gate nothing of how old its own knowledge was.
-TEST(Control, AGateWhoseKeeperStandsStillDeniesNothingAndServesOn)
+TEST(Control, AGateWithASuspendedKeeperAnswers503ToUnknownKeysAndKeepsServing)
 {
   AddHosts(1);
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
-  LONGS_EQUAL(401, AskWith("no-key").m_status);
+  m_deployment.StartDeployment();
+  LONGS_EQUAL(401, SendWithKey("no-key").m_status);
   Host("h1").m_keeper.Signal(SIGSTOP);
-  CHECK(WaitFor([&] { return AskWith("no-key").m_status == 503; }));
-  LONGS_EQUAL(200, Send(Ask(Host("h1"), "still served")).m_status);
+  CHECK(WaitFor([&] { return SendWithKey("no-key").m_status == 503; }));
+  LONGS_EQUAL(200, Send(MakeCompletionCall(Host("h1"), "still served")).m_status);
   Host("h1").m_keeper.Signal(SIGCONT);
-  CHECK(WaitFor([&] { return AskWith("no-key").m_status == 401; }));
+  CHECK(WaitFor([&] { return SendWithKey("no-key").m_status == 401; }));
 }
 
-TEST(Control, WhileTheLogIsAwayNothingIsDenied)
+TEST(Control, UnknownKeysGet503DuringALogOutage)
 {
   AddHosts(1);
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
-  m_deployment.PlatformFaults({ { "down", true } });
-  CHECK(WaitFor([&] { return AskWith("no-key").m_status == 503; }));
-  LONGS_EQUAL(200, Send(Ask(Host("h1"), "still served")).m_status);
-  m_deployment.PlatformFaults({ { "down", false } });
-  CHECK(WaitFor([&] { return AskWith("no-key").m_status == 401; }));
+  m_deployment.StartDeployment();
+  m_deployment.SetPlatformFaults({ { "down", true } });
+  CHECK(WaitFor([&] { return SendWithKey("no-key").m_status == 503; }));
+  LONGS_EQUAL(200, Send(MakeCompletionCall(Host("h1"), "still served")).m_status);
+  m_deployment.SetPlatformFaults({ { "down", false } });
+  CHECK(WaitFor([&] { return SendWithKey("no-key").m_status == 401; }));
 }
 
-TEST(Control, AFileIsAppendedAgainBeforeItLeavesTheLog)
+TEST(Control, ConfigurationIsReappendedBeforeItsRetentionEnds)
 {
   AddHosts(1, { "--renew-age", "300" });
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
-  const std::uint64_t offset = OffsetOn("h1", "standard");
-  m_deployment.PlatformFaults({ { "retained_records", 2 } });
+  m_deployment.StartDeployment();
+  const std::uint64_t offset = ScopeOffsetOn("h1", "standard");
+  m_deployment.SetPlatformFaults({ { "retained_records", 2 } });
   CHECK(WaitFor([&] {
-    const json page = Get(m_deployment.PlatformDirect() + "/log/config?from=1&wait_ms=0").Json();
+    const json page = Get(m_deployment.PlatformDirectUrl() + "/log/config?from=1&wait_ms=0").Json();
     return page["first"].get<std::uint64_t>() > offset;
   }));
   m_deployment.AddHost("h2", "z1");
-  CHECK(WaitFor([&] { return OffsetOn("h2", "standard") == offset; }));
-  LONGS_EQUAL(offset, OffsetOn("h1", "standard"));
+  CHECK(WaitFor([&] { return ScopeOffsetOn("h2", "standard") == offset; }));
+  LONGS_EQUAL(offset, ScopeOffsetOn("h1", "standard"));
 }
 
-TEST(Control, WeightsAreSwappedAFewAtATimeAndOldOrdersAreRefused)
+TEST(Control, ConcurrentSwapsAreLimitedAndStaleOrdersAreRejected)
 {
   AddHosts(3, { "--lease", "1500" });
   for (int i = 1; i <= 4; ++i) {
     m_deployment.AddEngine("w" + std::to_string(i), { "--checks-fencing", "--swap-time", "300" });
   }
   const std::string extra = "    max_concurrent_swaps: 2\n    checks_fencing: true\n";
-  m_deployment.Begin(extra);
+  m_deployment.StartDeployment(extra);
   LONGS_EQUAL(0, m_deployment.Apply(StandardFile("2", extra)).m_exitCode);
-  int mostSwapping = 0;
+  int maxSwapping = 0;
   CHECK(WaitFor([&] {
     int swapping = 0;
     int done = 0;
     for (int i = 1; i <= 4; ++i) {
-      const json load = Get(m_deployment.At("w" + std::to_string(i)).Direct() + "/load").Json();
+      const json load = Get(m_deployment.At("w" + std::to_string(i)).DirectUrl() + "/load").Json();
       swapping += load["swapping"].get<bool>() ? 1 : 0;
       done += load["version"] == "2" ? 1 : 0;
     }
-    mostSwapping = std::max(mostSwapping, swapping);
+    maxSwapping = std::max(maxSwapping, swapping);
     return done == 4;
   }));
-  CHECK(mostSwapping <= 2);
-  const Answer old =
-    Post(m_deployment.At("w1").Direct() + "/orders", { { "version", "1" }, { "fence", 0 } });
-  LONGS_EQUAL(409, old.m_status);
+  CHECK(maxSwapping <= 2);
+  const Response staleOrder =
+    Post(m_deployment.At("w1").DirectUrl() + "/orders", { { "version", "1" }, { "fence", 0 } });
+  LONGS_EQUAL(409, staleOrder.m_status);
 }
 
-TEST(Control, APausedLeaseHolderIsReplacedAndOrdersNothingWhenItWakes)
+TEST(Control, APausedLeaseHolderIsReplacedAndSendsNoStaleOrderAfterResuming)
 {
   AddHosts(2, { "--lease", "1500" });
   m_deployment.AddEngine("w1", { "--swap-time", "50" });
-  m_deployment.Begin();
+  m_deployment.StartDeployment();
   const auto holder = [&] {
     const json records =
-      Get(m_deployment.PlatformDirect() + "/log/leases?from=1&wait_ms=0").Json()["records"];
+      Get(m_deployment.PlatformDirectUrl() + "/log/leases?from=1&wait_ms=0").Json()["records"];
     const std::string last = records.empty() ? "" : records.back()["body"].get<std::string>();
     const json lease = json::parse(last, nullptr, false);
     return lease.is_object() ? lease["holder"].get<std::string>().substr(0, 2) : std::string();
@@ -204,106 +205,107 @@
   Host(first).m_keeper.Signal(SIGCONT);
   m_deployment.Apply(StandardFile("2"));
   CHECK(WaitFor(
-    [&] { return Get(m_deployment.At("w1").Direct() + "/load").Json()["version"] == "2"; }));
+    [&] { return Get(m_deployment.At("w1").DirectUrl() + "/load").Json()["version"] == "2"; }));
   std::uint64_t highest = 0;
-  for (const json& order : Get(m_deployment.At("w1").Direct() + "/ledger").Json()["orders"]) {
+  for (const json& order : Get(m_deployment.At("w1").DirectUrl() + "/ledger").Json()["orders"]) {
     CHECK(order["fence"].get<std::uint64_t>() >= highest);
     highest = order["fence"].get<std::uint64_t>();
   }
 }
 
-TEST(Control, EveryHostIsReplacedUnderLoadAndNothingIsLost)
+TEST(Control, RollingHostReplacementUnderLoadLosesNoRequest)
 {
   AddHosts(3);
   m_deployment.AddEngine("w1");
   m_deployment.AddEngine("w2");
-  m_deployment.Begin();
-  const std::uint64_t offset = OffsetOn("h1", "standard");
+  m_deployment.StartDeployment();
+  const std::uint64_t offset = ScopeOffsetOn("h1", "standard");
   for (const char* name : { "h1", "h2", "h3" }) {
     const std::string other = std::string(name) == "h1" ? "h2" : "h1";
     std::vector<Call> calls;
     for (int i = 0; i < 20; ++i) {
-      calls.push_back(Ask(Host(other), "replace" + std::to_string(i)));
+      calls.push_back(MakeCompletionCall(Host(other), "replace" + std::to_string(i)));
     }
-    const auto answers = SendAll(calls, [&] {
+    const auto responses = SendAll(calls, [&] {
       Host(name).m_gate.Signal(SIGTERM);
       LONGS_EQUAL(0, Host(name).m_gate.Wait());
       Host(name).m_keeper.Signal(SIGTERM);
       LONGS_EQUAL(0, Host(name).m_keeper.Wait());
     });
-    for (const Answer& answer : answers) {
-      LONGS_EQUAL(200, answer.m_status);
+    for (const Response& response : responses) {
+      LONGS_EQUAL(200, response.m_status);
     }
     m_deployment.AddHost(name, Host(name).m_zone);
-    m_deployment.List();
-    CHECK(WaitFor([&] { return OffsetOn(name, "standard") == offset; }));
+    m_deployment.PublishHostList();
+    CHECK(WaitFor([&] { return ScopeOffsetOn(name, "standard") == offset; }));
     m_deployment.WaitReady();
   }
 }
 
-TEST(Control, BadFilesAreRefusedWithTheirPlace)
+TEST(Control, InvalidFilesAreRejectedWithLineAndColumn)
 {
   AddHosts(1);
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
-  const Finished bad =
+  m_deployment.StartDeployment();
+  const ProcessResult bad =
     m_deployment.Apply("schema: 1\nscope: x\naccounts:\n  - name: y\n", "bad.yaml");
   CHECK(bad.m_exitCode != 0);
   CHECK(bad.m_output.find("bad.yaml:4:5") != std::string::npos);
   CHECK(m_deployment.Apply(std::string("\0\1\2", 3), "binary.yaml").m_exitCode != 0);
-  LONGS_EQUAL(200, Send(Ask(Host("h1"), "still served")).m_status);
+  LONGS_EQUAL(200, Send(MakeCompletionCall(Host("h1"), "still served")).m_status);
 }
 
-TEST(Control, WorkIsHandedToTheOtherHalfOnlyOnceDrainedAndRecorded)
+TEST(Control, FleetHandoverWaitsUntilDrainedAndRecorded)
 {
   // Two halves, each with a platform of its own.
   AddHosts(2);
   m_deployment.AddEngine("w1", { "--token-time", "10" });
-  m_deployment.Begin();
+  m_deployment.StartDeployment();
   Deployment other;
   other.AddHost("o1", "z1");
   other.AddEngine("w9");
-  other.Begin();
-  EntryHost& there = other.Hosts().at("o1");
+  other.StartDeployment();
+  EntryHost& otherHost = other.Hosts().at("o1");
   const auto rule = [](const std::string& aOwner, int aEpoch, const std::string& aOther) {
     return StandardFile() + "rules:\n  - name: move\n    fleet: f\n    owner: " + aOwner +
            "\n    epoch: " + std::to_string(aEpoch) + "\n    other_half: " + aOther + "\n";
   };
-  LONGS_EQUAL(0, m_deployment.Apply(rule("here", 1, there.Gate())).m_exitCode);
+  LONGS_EQUAL(0, m_deployment.Apply(rule("here", 1, otherHost.GateUrl())).m_exitCode);
   // The taker's operator is early: it must not serve before the hand-over is recorded.
-  LONGS_EQUAL(0, other.Apply(rule("here", 2, Host("h1").Gate())).m_exitCode);
-  LONGS_EQUAL(200, Send(Ask(Host("h1"), "mine")).m_status);
-  LONGS_EQUAL(6003, Send(Ask(there, "not yet")).Code());
-  const Call running = Ask(Host("h1"), "long", { { "max_tokens", 200 }, { "stream", true } });
-  const auto answers = SendAll({ running }, [&] {
-    LONGS_EQUAL(0, m_deployment.Apply(rule("handing-over", 1, there.Gate())).m_exitCode);
-    const Answer refused = Send(Ask(Host("h2"), "new work"));
-    LONGS_EQUAL(6003, refused.Code());
-    STRCMP_EQUAL("not_run", refused.Run().c_str());
-    LONGS_EQUAL(6003, Send(Ask(there, "still not")).Code());
+  LONGS_EQUAL(0, other.Apply(rule("here", 2, Host("h1").GateUrl())).m_exitCode);
+  LONGS_EQUAL(200, Send(MakeCompletionCall(Host("h1"), "mine")).m_status);
+  LONGS_EQUAL(6003, Send(MakeCompletionCall(otherHost, "not yet")).ErrorCode());
+  const Call running =
+    MakeCompletionCall(Host("h1"), "long", { { "max_tokens", 200 }, { "stream", true } });
+  const auto responses = SendAll({ running }, [&] {
+    LONGS_EQUAL(0, m_deployment.Apply(rule("handing-over", 1, otherHost.GateUrl())).m_exitCode);
+    const Response refused = Send(MakeCompletionCall(Host("h2"), "new work"));
+    LONGS_EQUAL(6003, refused.ErrorCode());
+    STRCMP_EQUAL("not_run", refused.RunState().c_str());
+    LONGS_EQUAL(6003, Send(MakeCompletionCall(otherHost, "still not")).ErrorCode());
   });
-  CHECK(answers.front().m_body.find("[DONE]") != std::string::npos);
-  CHECK(WaitFor([&] { return Send(Ask(there, "now")).m_status == 200; }));
-  LONGS_EQUAL(6003, Send(Ask(Host("h1"), "gone")).Code());
+  CHECK(responses.front().m_body.find("[DONE]") != std::string::npos);
+  CHECK(WaitFor([&] { return Send(MakeCompletionCall(otherHost, "now")).m_status == 200; }));
+  LONGS_EQUAL(6003, Send(MakeCompletionCall(Host("h1"), "gone")).ErrorCode());
   // Wishing for the ended epoch again changes nothing.
-  LONGS_EQUAL(0, m_deployment.Apply(rule("here", 1, there.Gate())).m_exitCode);
-  LONGS_EQUAL(6003, Send(Ask(Host("h1"), "still gone")).Code());
+  LONGS_EQUAL(0, m_deployment.Apply(rule("here", 1, otherHost.GateUrl())).m_exitCode);
+  LONGS_EQUAL(6003, Send(MakeCompletionCall(Host("h1"), "still gone")).ErrorCode());
 }
 
 // Found by the soak: the keeper told its gate of the first configuration only if the gate came
 // after the log had been read to its end.
-TEST(Control, AGateThatCameBeforeTheConfigurationGetsIt)
+TEST(Control, AGateConnectedBeforeTheFirstConfigurationReceivesIt)
 {
   AddHosts(1);
   m_deployment.AddEngine("w1");
-  m_deployment.Begin();
-  m_deployment.PlatformFaults({ { "down", true } });
+  m_deployment.StartDeployment();
+  m_deployment.SetPlatformFaults({ { "down", true } });
   EntryHost& late = m_deployment.AddHost("h2", "z1");
   CHECK(WaitFor([&] {
-    return Get(late.Gate() + "/metrics").m_body.find("ferrytray_keeper_connected 1") !=
+    return Get(late.GateUrl() + "/metrics").m_body.find("ferrytray_keeper_connected 1") !=
            std::string::npos;
   }));
-  m_deployment.PlatformFaults({ { "down", false } });
-  m_deployment.List();
-  CHECK(WaitFor([&] { return Get(late.Gate() + "/readyz").m_status == 200; }));
+  m_deployment.SetPlatformFaults({ { "down", false } });
+  m_deployment.PublishHostList();
+  CHECK(WaitFor([&] { return Get(late.GateUrl() + "/readyz").m_status == 200; }));
 }
--- a/tests/integration/deployment.cpp
+++ b/tests/integration/deployment.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-std::vector<std::string> Join(std::vector<std::string> aFirst,
-                              const std::vector<std::string>& aSecond)
+std::vector<std::string> Concatenate(std::vector<std::string> aFirst,
+                                     const std::vector<std::string>& aSecond)
 {
   aFirst.insert(aFirst.end(), aSecond.begin(), aSecond.end());
   return aFirst;
@@ -29,7 +29,7 @@
 
 std::string Deployment::PlatformUrl() const
 {
-  return PlatformDirect();
+  return PlatformDirectUrl();
 }
 
 EntryHost& Deployment::AddHost(const std::string& aName,
@@ -45,12 +45,12 @@
   EntryHost host{ aName,
                   aZone,
                   Process("tools/ferrytray-keeper",
-                          Join(keeper, aKeeperArguments),
+                          Concatenate(keeper, aKeeperArguments),
                           { "listening", "control", "gossip" }),
                   {} };
-  EntryHost& placed = m_hosts.insert_or_assign(aName, std::move(host)).first->second;
-  RestartGate(placed, aGateArguments);
-  return placed;
+  EntryHost& added = m_hosts.insert_or_assign(aName, std::move(host)).first->second;
+  RestartGate(added, aGateArguments);
+  return added;
 }
 
 void Deployment::RestartGate(EntryHost& aHost, const std::vector<std::string>& aArguments)
@@ -60,15 +60,15 @@
     "--platform", PlatformUrl(), "--keeper",     aHost.m_keeper.At("control"),
     "--listen",   "127.0.0.1:0", "--drain-wait", "200"
   };
-  aHost.m_gate = Process("tools/ferrytray-gate", Join(gate, aArguments), { "listening" });
+  aHost.m_gate = Process("tools/ferrytray-gate", Concatenate(gate, aArguments), { "listening" });
 }
 
-Endpoint& Deployment::Add(const std::string& aProgram,
-                          const std::string& aName,
-                          const std::string& aRole,
-                          const std::string& aPool,
-                          const std::vector<std::string>& aArguments,
-                          bool aProxied)
+Endpoint& Deployment::AddEndpoint(const std::string& aProgram,
+                                  const std::string& aName,
+                                  const std::string& aRole,
+                                  const std::string& aPool,
+                                  const std::vector<std::string>& aArguments,
+                                  bool aProxied)
 {
   Endpoint endpoint;
   endpoint.m_name = aName;
@@ -89,29 +89,30 @@
                                 const std::vector<std::string>& aArguments,
                                 bool aProxied)
 {
-  return Add("standins/standin-engine",
-             aName,
-             "engine",
-             "f",
-             Join({ "--model", "m" }, aArguments),
-             aProxied);
+  return AddEndpoint("standins/standin-engine",
+                     aName,
+                     "engine",
+                     "f",
+                     Concatenate({ "--model", "m" }, aArguments),
+                     aProxied);
 }
 
 Endpoint& Deployment::AddService(const std::string& aName,
                                  const std::vector<std::string>& aArguments,
                                  bool aProxied)
 {
-  return Add("standins/standin-service", aName, "service", "catalogue", aArguments, aProxied);
+  return AddEndpoint(
+    "standins/standin-service", aName, "service", "catalogue", aArguments, aProxied);
 }
 
 Endpoint& Deployment::AddStore(const std::string& aName,
                                const std::vector<std::string>& aArguments,
                                bool aProxied)
 {
-  return Add("standins/standin-store", aName, "store", "", aArguments, aProxied);
+  return AddEndpoint("standins/standin-store", aName, "store", "", aArguments, aProxied);
 }
 
-void Deployment::List()
+void Deployment::PublishHostList()
 {
   json hosts = json::array();
   for (const auto& [name, endpoint] : m_endpoints) {
@@ -129,46 +130,46 @@
                       { "zone", host.m_zone },
                       { "address", host.m_keeper.At("gossip") } });
   }
-  Post(PlatformDirect() + "/hosts", { { "hosts", hosts } });
+  Post(PlatformDirectUrl() + "/hosts", { { "hosts", hosts } });
 }
 
 void Deployment::SetState(const std::string& aName, const std::string& aState)
 {
   m_states[aName] = aState;
-  List();
+  PublishHostList();
 }
 
-Finished Deployment::Operate(const std::vector<std::string>& aArguments) const
+ProcessResult Deployment::RunCli(const std::vector<std::string>& aArguments) const
 {
   const std::vector<std::string> common{ "--platform",    PlatformUrl(),
-                                         "--keeper-http", m_hosts.begin()->second.Keeper(),
-                                         "--gate-http",   m_hosts.begin()->second.Gate(),
+                                         "--keeper-http", m_hosts.begin()->second.KeeperUrl(),
+                                         "--gate-http",   m_hosts.begin()->second.GateUrl(),
                                          "--wait",        "30000" };
-  return RunToEnd("tools/ferrytray", Join(common, aArguments));
+  return RunToCompletion("tools/ferrytray", Concatenate(common, aArguments));
 }
 
-Finished Deployment::Apply(const std::string& aYaml, const std::string& aName)
+ProcessResult Deployment::Apply(const std::string& aYaml, const std::string& aName)
 {
   const std::string path = "/tmp/ferrytray-" + std::to_string(getpid()) + "-" + aName;
   std::ofstream(path) << aYaml;
-  const Finished finished = Operate({ "apply", path });
+  const ProcessResult result = RunCli({ "apply", path });
   std::remove(path.c_str());
-  return finished;
+  return result;
 }
 
 void Deployment::WaitReady()
 {
   const bool ready = WaitFor([&] {
     for (const auto& [name, host] : m_hosts) {
-      if (Get(host.Gate() + "/readyz").m_status != 200) {
+      if (Get(host.GateUrl() + "/readyz").m_status != 200) {
         return false;
       }
-      const json status = Get(host.Keeper() + "/status").Json();
-      std::size_t known = 0;
+      const json status = Get(host.KeeperUrl() + "/status").Json();
+      std::size_t knownEndpoints = 0;
       for (const json& endpoint : status.value("endpoints", json::array())) {
         const bool reported = endpoint.value("version", "") != "" ||
                               m_endpoints.at(endpoint["name"]).m_role != "engine";
-        known += reported ? 1 : 0;
+        knownEndpoints += reported ? 1 : 0;
       }
       std::size_t alive = 0;
       for (const json& member : status.value("members", json::array())) {
@@ -177,8 +178,8 @@
       const std::string knownByGate =
         "ferrytray_endpoints_known " + std::to_string(m_endpoints.size()) + "\n";
       const bool gateKnows =
-        Get(host.Gate() + "/metrics").m_body.find(knownByGate) != std::string::npos;
-      if (!gateKnows || known < m_endpoints.size() || alive < m_hosts.size()) {
+        Get(host.GateUrl() + "/metrics").m_body.find(knownByGate) != std::string::npos;
+      if (!gateKnows || knownEndpoints < m_endpoints.size() || alive < m_hosts.size()) {
         return false;
       }
     }
@@ -189,10 +190,10 @@
   }
 }
 
-void Deployment::Begin(const std::string& aExtra)
+void Deployment::StartDeployment(const std::string& aExtra)
 {
-  List();
-  const Finished applied = Apply(StandardFile("1", aExtra));
+  PublishHostList();
+  const ProcessResult applied = Apply(StandardFile("1", aExtra));
   if (applied.m_exitCode != 0) {
     throw std::runtime_error("apply: " + applied.m_output);
   }
@@ -204,7 +205,7 @@
   int executions = 0;
   for (const auto& [name, endpoint] : m_endpoints) {
     if (endpoint.m_role != "store" && endpoint.m_process.Running()) {
-      const json ledger = Get(endpoint.Direct() + "/ledger").Json();
+      const json ledger = Get(endpoint.DirectUrl() + "/ledger").Json();
       executions += ledger.at("executions").value(aRequest, 0);
     }
   }
@@ -225,27 +226,27 @@
          account("lab") + account("bench");
 }
 
-Call Ask(const EntryHost& aHost,
-         const std::string& aPrompt,
-         const json& aFields,
-         net::Headers aHeaders)
+Call MakeCompletionCall(const EntryHost& aHost,
+                        const std::string& aPrompt,
+                        const json& aFields,
+                        net::Headers aHeaders)
 {
   json body{ { "model", "m" }, { "prompt", aPrompt }, { "max_tokens", 8 } };
   body.update(aFields.is_null() ? json::object() : aFields);
   aHeaders.emplace_back("Authorization", "Bearer lab-key");
-  return { "POST", aHost.Gate() + "/v1/completions", body.dump(), std::move(aHeaders) };
+  return { "POST", aHost.GateUrl() + "/v1/completions", body.dump(), std::move(aHeaders) };
 }
 
-Call CallService(const EntryHost& aHost, const std::string& aBody, net::Headers aHeaders)
+Call MakeServiceCall(const EntryHost& aHost, const std::string& aBody, net::Headers aHeaders)
 {
   aHeaders.emplace_back("Authorization", "Bearer lab-key");
-  return { "POST", aHost.Gate() + "/catalogue/order", aBody, std::move(aHeaders) };
+  return { "POST", aHost.GateUrl() + "/catalogue/order", aBody, std::move(aHeaders) };
 }
 
-std::string AnswerAlone(const std::string& aPrompt,
-                        const std::string& aAccount,
-                        const std::string& aVersion,
-                        int aTokens)
+std::string ReferenceText(const std::string& aPrompt,
+                          const std::string& aAccount,
+                          const std::string& aVersion,
+                          int aTokens)
 {
   constexpr std::size_t kBlockBytes = 1024;
   const Process engine(
--- a/tests/integration/deployment.hpp
+++ b/tests/integration/deployment.hpp
@@ -16,8 +16,8 @@
   std::string m_zone;
   Process m_keeper;
   Process m_gate;
-  std::string Gate() const { return "http://" + m_gate.At("listening"); }
-  std::string Keeper() const { return "http://" + m_keeper.At("listening"); }
+  std::string GateUrl() const { return "http://" + m_gate.At("listening"); }
+  std::string KeeperUrl() const { return "http://" + m_keeper.At("listening"); }
 };
 
 /// A stand-in, directly or behind the fault-injecting proxy.
@@ -30,13 +30,13 @@
   std::string m_incarnation = "1";
   Process m_process;
   Process m_proxy;
-  std::string Direct() const { return "http://" + m_process.At("listening"); }
+  std::string DirectUrl() const { return "http://" + m_process.At("listening"); }
   std::string Address() const
   {
     return m_proxy.Running() ? m_proxy.At("passing") : m_process.At("listening");
   }
-  void Faults(const json& aFaults) const { Post(Direct() + "/admin/faults", aFaults); }
-  void ProxyFaults(const json& aFaults) const
+  void SetFaults(const json& aFaults) const { Post(DirectUrl() + "/admin/faults", aFaults); }
+  void SetProxyFaults(const json& aFaults) const
   {
     Post("http://" + m_proxy.At("listening") + "/faults", aFaults);
   }
@@ -63,34 +63,34 @@
                      const std::vector<std::string>& aArguments = {},
                      bool aProxied = false);
   /// Tells the platform of every endpoint and host.
-  void List();
+  void PublishHostList();
   void SetState(const std::string& aName, const std::string& aState);
 
   /// Writes a file, applies it and waits until every host has it in force.
-  Finished Apply(const std::string& aYaml, const std::string& aName = "test.yaml");
-  Finished Operate(const std::vector<std::string>& aArguments) const;
+  ProcessResult Apply(const std::string& aYaml, const std::string& aName = "test.yaml");
+  ProcessResult RunCli(const std::vector<std::string>& aArguments) const;
   /// Applies the standard file and waits until every gate is ready and every engine known.
-  void Begin(const std::string& aExtra = "");
+  void StartDeployment(const std::string& aExtra = "");
   void WaitReady();
 
   std::string PlatformUrl() const;
-  void PlatformFaults(const json& aFaults) const
+  void SetPlatformFaults(const json& aFaults) const
   {
-    Post(PlatformDirect() + "/admin/faults", aFaults);
+    Post(PlatformDirectUrl() + "/admin/faults", aFaults);
   }
-  std::string PlatformDirect() const { return "http://" + m_platform.At("listening"); }
+  std::string PlatformDirectUrl() const { return "http://" + m_platform.At("listening"); }
   Endpoint& At(const std::string& aName) { return m_endpoints.at(aName); }
   std::map<std::string, EntryHost>& Hosts() { return m_hosts; }
   /// Executions of a request over every engine and service.
   int Executions(const std::string& aRequest) const;
 
 private:
-  Endpoint& Add(const std::string& aProgram,
-                const std::string& aName,
-                const std::string& aRole,
-                const std::string& aPool,
-                const std::vector<std::string>& aArguments,
-                bool aProxied);
+  Endpoint& AddEndpoint(const std::string& aProgram,
+                        const std::string& aName,
+                        const std::string& aRole,
+                        const std::string& aPool,
+                        const std::vector<std::string>& aArguments,
+                        bool aProxied);
 
   Process m_platform;
   std::map<std::string, EntryHost> m_hosts;
@@ -103,18 +103,18 @@
 std::string StandardFile(const std::string& aVersion = "1", const std::string& aFleetExtra = "");
 
 /// A request for the model. @param aHeaders besides the key of account "lab"
-Call Ask(const EntryHost& aHost,
-         const std::string& aPrompt,
-         const json& aFields = {},
-         ferrytray::net::Headers aHeaders = {});
+Call MakeCompletionCall(const EntryHost& aHost,
+                        const std::string& aPrompt,
+                        const json& aFields = {},
+                        ferrytray::net::Headers aHeaders = {});
 /// A call of the plain service.
-Call CallService(const EntryHost& aHost,
-                 const std::string& aBody,
-                 ferrytray::net::Headers aHeaders = {});
+Call MakeServiceCall(const EntryHost& aHost,
+                     const std::string& aBody,
+                     ferrytray::net::Headers aHeaders = {});
 /// The text that an engine gives for a prompt when it is alone and computes everything itself.
-std::string AnswerAlone(const std::string& aPrompt,
-                        const std::string& aAccount = "lab",
-                        const std::string& aVersion = "1",
-                        int aTokens = 8);
+std::string ReferenceText(const std::string& aPrompt,
+                          const std::string& aAccount = "lab",
+                          const std::string& aVersion = "1",
+                          int aTokens = 8);
 
 } // namespace integration
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-ferrytray::net::Headers Keyed(const std::string& aKey, const std::string& aRequest)
+ferrytray::net::Headers IdempotencyHeaders(const std::string& aKey, const std::string& aRequest)
 {
   return { { "Idempotency-Key", aKey }, { "X-Request-Id", aRequest } };
 }
 
-std::string TakeTicket(const EntryHost& aHost)
+std::string RequestTicket(const EntryHost& aHost)
 {
-  const Answer answer =
-    Send({ "POST", aHost.Gate() + "/v1/tickets", "", { { "Authorization", "Bearer lab-key" } } });
-  return answer.Json().at("ticket").get<std::string>();
+  const Response response = Send(
+    { "POST", aHost.GateUrl() + "/v1/tickets", "", { { "Authorization", "Bearer lab-key" } } });
+  return response.Json().at("ticket").get<std::string>();
 }
 
 } // namespace
@@ -31,77 +31,82 @@
     return m_deployment.Hosts().at(aName);
   }
 
-  void Begin(int aHosts, const std::vector<std::string>& aServiceArguments = {})
+  void StartDeployment(int aHosts, const std::vector<std::string>& aServiceArguments = {})
   {
     for (int i = 1; i <= aHosts; ++i) {
       m_deployment.AddHost("h" + std::to_string(i), "z1");
     }
     m_deployment.AddEngine("w1", { "--token-time", "5" }, true);
     m_deployment.AddService("c1", aServiceArguments, true);
-    m_deployment.Begin();
+    m_deployment.StartDeployment();
   }
 };
 
-TEST(Once, ALostReplyIsUnknownAndNeverRepeated)
+TEST(Once, ALostReplyIsReportedUnknownAndNotRetried)
 {
-  Begin(1);
+  StartDeployment(1);
   // The first call leaves a connection that a later one could reuse (and libcurl resend on).
   LONGS_EQUAL(
-    200, Send(CallService(Host("h1"), "warm", { { "Ferrytray-Idempotent", "true" } })).m_status);
-  m_deployment.At("c1").ProxyFaults({ { "drop_replies", 1 } });
-  const Answer lost = Send(CallService(Host("h1"), "order", { { "X-Request-Id", "order" } }));
-  LONGS_EQUAL(4004, lost.Code());
-  STRCMP_EQUAL("unknown", lost.Run().c_str());
+    200,
+    Send(MakeServiceCall(Host("h1"), "warm", { { "Ferrytray-Idempotent", "true" } })).m_status);
+  m_deployment.At("c1").SetProxyFaults({ { "drop_replies", 1 } });
+  const Response lost = Send(MakeServiceCall(Host("h1"), "order", { { "X-Request-Id", "order" } }));
+  LONGS_EQUAL(4004, lost.ErrorCode());
+  STRCMP_EQUAL("unknown", lost.RunState().c_str());
   LONGS_EQUAL(1, m_deployment.Executions("order"));
 }
 
 // The log answers what it is asked, but no read that it holds open. A gate that has its own claim
 // acknowledged need not wait to hear of it.
-TEST(Once, AKeyedCallIsServedWhileReadsThatAreHeldOpenHearNothing)
+TEST(Once, AKeyedCallCompletesWhileLongPollsStayUnanswered)
 {
-  Begin(1);
-  m_deployment.PlatformFaults({ { "answer_held_reads", false } });
+  StartDeployment(1);
+  m_deployment.SetPlatformFaults({ { "answer_held_reads", false } });
   for (int i = 0; i < 3; ++i) {
     const std::string name = "order" + std::to_string(i);
-    const Answer answer = Send(CallService(Host("h1"), name, Keyed("key" + name, name)));
-    LONGS_EQUAL(200, answer.m_status);
+    const Response response =
+      Send(MakeServiceCall(Host("h1"), name, IdempotencyHeaders("key" + name, name)));
+    LONGS_EQUAL(200, response.m_status);
     LONGS_EQUAL(1, m_deployment.Executions(name));
   }
 }
 
-TEST(Once, AnIdempotentCallIsTriedAgain)
+TEST(Once, AnIdempotentCallIsRetried)
 {
-  Begin(1);
+  StartDeployment(1);
   m_deployment.AddService("c2");
-  m_deployment.List();
+  m_deployment.PublishHostList();
   m_deployment.WaitReady();
-  m_deployment.At("c1").ProxyFaults({ { "drop_replies", 100 } });
+  m_deployment.At("c1").SetProxyFaults({ { "drop_replies", 100 } });
   for (int i = 0; i < 5; ++i) {
     LONGS_EQUAL(
-      200, Send(CallService(Host("h1"), "look", { { "Ferrytray-Idempotent", "true" } })).m_status);
+      200,
+      Send(MakeServiceCall(Host("h1"), "look", { { "Ferrytray-Idempotent", "true" } })).m_status);
   }
 }
 
-TEST(Once, AnEndpointThatCannotBeReachedRanNothing)
+TEST(Once, AnUnreachableEndpointIsReportedNotRun)
 {
-  Begin(1);
+  StartDeployment(1);
   m_deployment.At("c1").m_process.Kill();
   m_deployment.At("c1").m_proxy.Kill();
-  const Answer refused = Send(CallService(Host("h1"), "order"));
-  STRCMP_EQUAL("not_run", refused.Run().c_str());
+  const Response refused = Send(MakeServiceCall(Host("h1"), "order"));
+  STRCMP_EQUAL("not_run", refused.RunState().c_str());
 }
 
-TEST(Once, AKeyRunsOnceOverTwoGatesAndIsReplayed)
+TEST(Once, AKeyRunsOnceAcrossGatesAndItsReplyIsReplayed)
 {
-  Begin(2, { "--work-time", "200" });
-  const std::vector<Call> race{ CallService(Host("h1"), "order", Keyed("k1", "r1")),
-                                CallService(Host("h2"), "order", Keyed("k1", "r2")),
-                                CallService(Host("h1"), "order", Keyed("k1", "r3")),
-                                CallService(Host("h2"), "order", Keyed("k1", "r4")) };
+  StartDeployment(2, { "--work-time", "200" });
+  const std::vector<Call> race{
+    MakeServiceCall(Host("h1"), "order", IdempotencyHeaders("k1", "r1")),
+    MakeServiceCall(Host("h2"), "order", IdempotencyHeaders("k1", "r2")),
+    MakeServiceCall(Host("h1"), "order", IdempotencyHeaders("k1", "r3")),
+    MakeServiceCall(Host("h2"), "order", IdempotencyHeaders("k1", "r4"))
+  };
   int answered = 0;
-  for (const Answer& answer : SendAll(race)) {
-    answered += answer.m_status == 200 ? 1 : 0;
-    CHECK(answer.m_status == 200 || answer.Run() == "unknown");
+  for (const Response& response : SendAll(race)) {
+    answered += response.m_status == 200 ? 1 : 0;
+    CHECK(response.m_status == 200 || response.RunState() == "unknown");
   }
   CHECK(answered >= 1);
   int executions = 0;
@@ -110,121 +115,130 @@
   }
   LONGS_EQUAL(1, executions);
   for (const char* host : { "h1", "h2" }) {
-    const Answer again = Send(CallService(Host(host), "order", Keyed("k1", "r5")));
+    const Response again =
+      Send(MakeServiceCall(Host(host), "order", IdempotencyHeaders("k1", "r5")));
     LONGS_EQUAL(200, again.m_status);
     LONGS_EQUAL(0, m_deployment.Executions("r5"));
   }
-  LONGS_EQUAL(5006, Send(CallService(Host("h1"), "another", Keyed("k1", "r6"))).Code());
+  LONGS_EQUAL(
+    5006, Send(MakeServiceCall(Host("h1"), "another", IdempotencyHeaders("k1", "r6"))).ErrorCode());
 }
 
-TEST(Once, AKeySurvivesALostAppendReply)
+TEST(Once, AKeyedCallSucceedsWhenAnAppendReplyIsLost)
 {
-  Begin(1);
-  m_deployment.PlatformFaults({ { "lose_replies", 2 } });
-  const Answer answer = Send(CallService(Host("h1"), "order", Keyed("k2", "r1")));
-  LONGS_EQUAL(200, answer.m_status);
+  StartDeployment(1);
+  m_deployment.SetPlatformFaults({ { "lose_replies", 2 } });
+  const Response response =
+    Send(MakeServiceCall(Host("h1"), "order", IdempotencyHeaders("k2", "r1")));
+  LONGS_EQUAL(200, response.m_status);
   LONGS_EQUAL(1, m_deployment.Executions("r1"));
 }
 
-TEST(Once, WithoutTheLogKeysAreRefusedAndTicketsGoOn)
+TEST(Once, KeysAreRejectedAndTicketsAreServedDuringALogOutage)
 {
-  Begin(2);
-  m_deployment.PlatformFaults({ { "down", true } });
-  CHECK(WaitFor(
-    [&] { return Send(CallService(Host("h1"), "order", Keyed("k3", "r1"))).Code() == 5004; }));
-  const Answer refused = Send(CallService(Host("h1"), "order", Keyed("k3", "r2")));
-  STRCMP_EQUAL("not_run", refused.Run().c_str());
+  StartDeployment(2);
+  m_deployment.SetPlatformFaults({ { "down", true } });
+  CHECK(WaitFor([&] {
+    return Send(MakeServiceCall(Host("h1"), "order", IdempotencyHeaders("k3", "r1"))).ErrorCode() ==
+           5004;
+  }));
+  const Response refused =
+    Send(MakeServiceCall(Host("h1"), "order", IdempotencyHeaders("k3", "r2")));
+  STRCMP_EQUAL("not_run", refused.RunState().c_str());
   LONGS_EQUAL(0, m_deployment.Executions("r1") + m_deployment.Executions("r2"));
-  const std::string ticket = TakeTicket(Host("h1"));
-  LONGS_EQUAL(200,
-              Send(CallService(Host("h1"), "order", { { "Ferrytray-Ticket", ticket } })).m_status);
-  LONGS_EQUAL(200, Send(CallService(Host("h2"), "free")).m_status);
-  m_deployment.PlatformFaults({ { "down", false } });
-  CHECK(WaitFor(
-    [&] { return Send(CallService(Host("h1"), "order", Keyed("k3", "r3"))).m_status == 200; }));
+  const std::string ticket = RequestTicket(Host("h1"));
+  LONGS_EQUAL(
+    200, Send(MakeServiceCall(Host("h1"), "order", { { "Ferrytray-Ticket", ticket } })).m_status);
+  LONGS_EQUAL(200, Send(MakeServiceCall(Host("h2"), "free")).m_status);
+  m_deployment.SetPlatformFaults({ { "down", false } });
+  CHECK(WaitFor([&] {
+    return Send(MakeServiceCall(Host("h1"), "order", IdempotencyHeaders("k3", "r3"))).m_status ==
+           200;
+  }));
   LONGS_EQUAL(1, m_deployment.Executions("r3"));
 }
 
-TEST(Once, ATicketRunsOnceWhicheverGateIsAsked)
+TEST(Once, ATicketRunsOnceAcrossGates)
 {
-  Begin(2);
-  const std::string ticket = TakeTicket(Host("h1"));
+  StartDeployment(2);
+  const std::string ticket = RequestTicket(Host("h1"));
   const auto redeem = [&](const char* aHost, const char* aRequest) {
-    return Send(CallService(
+    return Send(MakeServiceCall(
       Host(aHost), "order", { { "Ferrytray-Ticket", ticket }, { "X-Request-Id", aRequest } }));
   };
   LONGS_EQUAL(200, redeem("h2", "r1").m_status);
   LONGS_EQUAL(1, m_deployment.Executions("r1"));
   LONGS_EQUAL(200, redeem("h1", "r2").m_status);
   LONGS_EQUAL(200, redeem("h2", "r3").m_status);
-  const json ledger = Get(m_deployment.At("c1").Direct() + "/ledger").Json();
+  const json ledger = Get(m_deployment.At("c1").DirectUrl() + "/ledger").Json();
   LONGS_EQUAL(1, ledger["executions"].size());
-  Call foreign = CallService(Host("h1"), "order", { { "Ferrytray-Ticket", ticket } });
+  Call foreign = MakeServiceCall(Host("h1"), "order", { { "Ferrytray-Ticket", ticket } });
   foreign.m_headers.back().second = "Bearer bench-key";
-  LONGS_EQUAL(5007, Send(foreign).Code());
+  LONGS_EQUAL(5007, Send(foreign).ErrorCode());
 }
 
-TEST(Once, ATicketWhoseGateDiedIsUnknownAndNotRun)
+TEST(Once, ATicketOfAKilledGateIsReportedUnknownAndNotRun)
 {
-  Begin(2);
-  const std::string ticket = TakeTicket(Host("h1"));
+  StartDeployment(2);
+  const std::string ticket = RequestTicket(Host("h1"));
   Host("h1").m_gate.Kill();
-  const Answer answer = Send(
-    CallService(Host("h2"), "order", { { "Ferrytray-Ticket", ticket }, { "X-Request-Id", "r1" } }));
-  STRCMP_EQUAL("unknown", answer.Run().c_str());
+  const Response response = Send(MakeServiceCall(
+    Host("h2"), "order", { { "Ferrytray-Ticket", ticket }, { "X-Request-Id", "r1" } }));
+  STRCMP_EQUAL("unknown", response.RunState().c_str());
   LONGS_EQUAL(0, m_deployment.Executions("r1"));
 }
 
-TEST(Once, TicketsOfAStoppingGateMoveToAPeer)
+TEST(Once, TicketsAreTransferredToAPeerOnGracefulShutdown)
 {
-  Begin(3);
-  const std::string fresh = TakeTicket(Host("h1"));
-  const std::string used = TakeTicket(Host("h1"));
-  LONGS_EQUAL(
-    200,
-    Send(CallService(Host("h1"), "one", { { "Ferrytray-Ticket", used }, { "X-Request-Id", "r1" } }))
-      .m_status);
+  StartDeployment(3);
+  const std::string fresh = RequestTicket(Host("h1"));
+  const std::string used = RequestTicket(Host("h1"));
+  LONGS_EQUAL(200,
+              Send(MakeServiceCall(
+                     Host("h1"), "one", { { "Ferrytray-Ticket", used }, { "X-Request-Id", "r1" } }))
+                .m_status);
   Host("h1").m_gate.Signal(SIGTERM);
   LONGS_EQUAL(0, Host("h1").m_gate.Wait());
   const auto redeem = [&](const std::string& aTicket, const char* aBody, const char* aRequest) {
-    return Send(CallService(
+    return Send(MakeServiceCall(
       Host("h2"), aBody, { { "Ferrytray-Ticket", aTicket }, { "X-Request-Id", aRequest } }));
   };
   CHECK(WaitFor([&] { return redeem(used, "one", "r2").m_status == 200; }));
   LONGS_EQUAL(0, m_deployment.Executions("r2"));
   LONGS_EQUAL(200, redeem(fresh, "two", "r3").m_status);
   LONGS_EQUAL(200, redeem(fresh, "two", "r4").m_status);
-  const json executions = Get(m_deployment.At("c1").Direct() + "/ledger").Json()["executions"];
+  const json executions = Get(m_deployment.At("c1").DirectUrl() + "/ledger").Json()["executions"];
   LONGS_EQUAL(2, executions.size());
 }
 
-TEST(Once, AGateKilledWhileItRunsAKeyLeavesItUnknown)
+TEST(Once, AGateKilledDuringAKeyedCallLeavesTheKeyUnknown)
 {
-  Begin(2, { "--work-time", "1500" });
-  const auto answers = SendAll({ CallService(Host("h1"), "order", Keyed("k4", "r1")) }, [&] {
-    WaitFor([&] { return m_deployment.Executions("r1") == 1; });
-    Host("h1").m_gate.Kill();
-  });
-  CHECK(answers.front().m_status != 200);
-  const Answer again = Send(CallService(Host("h2"), "order", Keyed("k4", "r2")));
-  STRCMP_EQUAL("unknown", again.Run().c_str());
+  StartDeployment(2, { "--work-time", "1500" });
+  const auto responses =
+    SendAll({ MakeServiceCall(Host("h1"), "order", IdempotencyHeaders("k4", "r1")) }, [&] {
+      WaitFor([&] { return m_deployment.Executions("r1") == 1; });
+      Host("h1").m_gate.Kill();
+    });
+  CHECK(responses.front().m_status != 200);
+  const Response again = Send(MakeServiceCall(Host("h2"), "order", IdempotencyHeaders("k4", "r2")));
+  STRCMP_EQUAL("unknown", again.RunState().c_str());
   LONGS_EQUAL(1, m_deployment.Executions("r1"));
   LONGS_EQUAL(0, m_deployment.Executions("r2"));
 }
 
-TEST(Once, AnEngineKilledInMidStreamIsToldTruthfully)
+TEST(Once, AnEngineKilledMidStreamIsReportedUnknown)
 {
-  Begin(1);
+  StartDeployment(1);
   const json fields{ { "max_tokens", 400 }, { "stream", true } };
-  const auto answers =
-    SendAll({ Ask(Host("h1"), "long", fields, { { "X-Request-Id", "r1" } }),
-              Ask(Host("h1"),
-                  "once",
-                  fields,
-                  { { "X-Request-Id", "r2" }, { "Ferrytray-Idempotent", "false" } }) },
-            [&] { m_deployment.At("w1").m_process.Kill(); });
-  for (const Answer& answer : answers) {
-    CHECK(answer.m_body.find("\"run\":\"unknown\"") != std::string::npos);
-    CHECK(answer.m_body.find("[DONE]") == std::string::npos);
+  const auto responses = SendAll(
+    { MakeCompletionCall(Host("h1"), "long", fields, { { "X-Request-Id", "r1" } }),
+      MakeCompletionCall(Host("h1"),
+                         "once",
+                         fields,
+                         { { "X-Request-Id", "r2" }, { "Ferrytray-Idempotent", "false" } }) },
+    [&] { m_deployment.At("w1").m_process.Kill(); });
+  for (const Response& response : responses) {
+    CHECK(response.m_body.find("\"run\":\"unknown\"") != std::string::npos);
+    CHECK(response.m_body.find("[DONE]") == std::string::npos);
   }
 }
--- a/tests/integration/process.cpp
+++ b/tests/integration/process.cpp
@@ -21,43 +21,43 @@
 
 namespace {
 
-constexpr auto kLongLimit = std::chrono::seconds(60);
-constexpr auto kPollEvery = std::chrono::milliseconds(10);
+constexpr auto kWaitLimit = std::chrono::seconds(60);
+constexpr auto kPollInterval = std::chrono::milliseconds(10);
 
-struct Spawned
+struct SpawnedProcess
 {
   pid_t m_pid = -1;
   int m_output = -1;
 };
 
-Spawned Spawn(const std::string& aProgram,
-              const std::vector<std::string>& aArguments,
-              bool aErrorsToo)
+SpawnedProcess Spawn(const std::string& aProgram,
+                     const std::vector<std::string>& aArguments,
+                     bool aCaptureStderr)
 {
   std::array<int, 2> pipe{};
   if (pipe2(pipe.data(), O_CLOEXEC) != 0) {
     throw std::runtime_error("pipe2");
   }
   const std::string path = std::filesystem::path(FERRYTRAY_BINARY_DIR) / aProgram;
-  std::vector<char*> words{ const_cast<char*>(path.c_str()) };
+  std::vector<char*> argv{ const_cast<char*>(path.c_str()) };
   for (const std::string& argument : aArguments) {
-    words.push_back(const_cast<char*>(argument.c_str()));
+    argv.push_back(const_cast<char*>(argument.c_str()));
   }
-  words.push_back(nullptr);
+  argv.push_back(nullptr);
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_adddup2(&actions, pipe[1], STDOUT_FILENO);
-  if (aErrorsToo) {
+  if (aCaptureStderr) {
     posix_spawn_file_actions_adddup2(&actions, pipe[1], STDERR_FILENO);
   } else {
-    const char* kept = std::getenv("FERRYTRAY_TEST_LOG");
-    const std::string log = kept == nullptr ? "/dev/null" : kept;
+    const char* configuredLog = std::getenv("FERRYTRAY_TEST_LOG");
+    const std::string log = configuredLog == nullptr ? "/dev/null" : configuredLog;
     posix_spawn_file_actions_addopen(
       &actions, STDERR_FILENO, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   }
-  Spawned spawned;
+  SpawnedProcess spawned;
   const int error =
-    posix_spawn(&spawned.m_pid, path.c_str(), &actions, nullptr, words.data(), environ);
+    posix_spawn(&spawned.m_pid, path.c_str(), &actions, nullptr, argv.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
   close(pipe[1]);
   if (error != 0) {
@@ -68,7 +68,7 @@
 }
 
 /// Copies what is left of a program's output to a file until the program ends.
-void KeepOutput(std::FILE* aOutput, const std::string& aPath)
+void AppendOutputToFile(std::FILE* aOutput, const std::string& aPath)
 {
   std::FILE* file = std::fopen(aPath.c_str(), "a");
   std::array<char, 4096> buffer{};
@@ -92,20 +92,20 @@
 
 Process::Process(const std::string& aProgram,
                  std::vector<std::string> aArguments,
-                 std::vector<std::string> aWords,
-                 const std::string& aKeepOutputIn)
+                 std::vector<std::string> aStartupKeys,
+                 const std::string& aOutputFile)
 {
-  const Spawned spawned = Spawn(aProgram, aArguments, false);
+  const SpawnedProcess spawned = Spawn(aProgram, aArguments, false);
   m_pid = spawned.m_pid;
   std::FILE* output = fdopen(spawned.m_output, "r");
   char* line = nullptr;
   std::size_t capacity = 0;
-  const auto allSeen = [&] {
-    return std::all_of(aWords.begin(), aWords.end(), [&](const std::string& aWord) {
-      return m_words.contains(aWord);
+  const auto hasAllKeys = [&] {
+    return std::all_of(aStartupKeys.begin(), aStartupKeys.end(), [&](const std::string& aKey) {
+      return m_startupValues.contains(aKey);
     });
   };
-  while (!allSeen()) {
+  while (!hasAllKeys()) {
     const ssize_t length = getline(&line, &capacity, output);
     if (length <= 0) {
       break;
@@ -113,16 +113,16 @@
     const std::string text(line, static_cast<std::size_t>(length) - 1);
     const std::size_t space = text.find(' ');
     if (space != std::string::npos) {
-      m_words[text.substr(0, space)] = text.substr(space + 1);
+      m_startupValues[text.substr(0, space)] = text.substr(space + 1);
     }
   }
   std::free(line);
-  if (aKeepOutputIn.empty()) {
+  if (aOutputFile.empty()) {
     std::fclose(output);
   } else {
-    std::thread(&KeepOutput, output, aKeepOutputIn).detach();
+    std::thread(&AppendOutputToFile, output, aOutputFile).detach();
   }
-  if (!allSeen()) {
+  if (!hasAllKeys()) {
     throw std::runtime_error(aProgram + " did not start");
   }
 }
@@ -134,7 +134,7 @@
 
 Process::Process(Process&& aOther) noexcept
   : m_pid(std::exchange(aOther.m_pid, -1))
-  , m_words(std::move(aOther.m_words))
+  , m_startupValues(std::move(aOther.m_startupValues))
 {
 }
 
@@ -142,7 +142,7 @@
 {
   Kill();
   m_pid = std::exchange(aOther.m_pid, -1);
-  m_words = std::move(aOther.m_words);
+  m_startupValues = std::move(aOther.m_startupValues);
   return *this;
 }
 
@@ -176,28 +176,29 @@
 
 bool WaitFor(const std::function<bool()>& aCondition)
 {
-  const auto end = std::chrono::steady_clock::now() + kLongLimit;
+  const auto end = std::chrono::steady_clock::now() + kWaitLimit;
   while (std::chrono::steady_clock::now() < end) {
     if (aCondition()) {
       return true;
     }
-    std::this_thread::sleep_until(std::chrono::steady_clock::now() + kPollEvery);
+    std::this_thread::sleep_until(std::chrono::steady_clock::now() + kPollInterval);
   }
   return false;
 }
 
-Finished RunToEnd(const std::string& aProgram, const std::vector<std::string>& aArguments)
+ProcessResult RunToCompletion(const std::string& aProgram,
+                              const std::vector<std::string>& aArguments)
 {
-  const Spawned spawned = Spawn(aProgram, aArguments, true);
-  Finished finished;
+  const SpawnedProcess spawned = Spawn(aProgram, aArguments, true);
+  ProcessResult result;
   std::array<char, 4096> buffer{};
   for (ssize_t got = read(spawned.m_output, buffer.data(), buffer.size()); got > 0;
        got = read(spawned.m_output, buffer.data(), buffer.size())) {
-    finished.m_output.append(buffer.data(), static_cast<std::size_t>(got));
+    result.m_output.append(buffer.data(), static_cast<std::size_t>(got));
   }
   close(spawned.m_output);
-  finished.m_exitCode = WaitForExit(spawned.m_pid);
-  return finished;
+  result.m_exitCode = WaitForExit(spawned.m_pid);
+  return result;
 }
 
 } // namespace integration
--- a/tests/integration/process.hpp
+++ b/tests/integration/process.hpp
@@ -17,18 +17,18 @@
 public:
   Process() = default;
   /// @param aProgram path below the build folder
-  /// @param aWords words of its first lines to wait for; the rest of such a line is kept
-  /// @param aKeepOutputIn file to which later output is appended; empty: nobody reads it
+  /// @param aStartupKeys words of its first lines to wait for; the rest of such a line is kept
+  /// @param aOutputFile file to which later output is appended; empty: nobody reads it
   Process(const std::string& aProgram,
           std::vector<std::string> aArguments,
-          std::vector<std::string> aWords,
-          const std::string& aKeepOutputIn = "");
+          std::vector<std::string> aStartupKeys,
+          const std::string& aOutputFile = "");
   ~Process();
   Process(Process&& aOther) noexcept;
   Process& operator=(Process&& aOther) noexcept;
 
   /// What followed a word, such as the address after "listening".
-  const std::string& At(const std::string& aWord) const { return m_words.at(aWord); }
+  const std::string& At(const std::string& aKey) const { return m_startupValues.at(aKey); }
   void Signal(int aSignal) const;
   /// Waits for it to end. @return its exit code, or minus the signal that ended it
   int Wait();
@@ -40,18 +40,19 @@
 
 private:
   pid_t m_pid = -1;
-  std::map<std::string, std::string> m_words;
+  std::map<std::string, std::string> m_startupValues;
 };
 
 /// Waits until a condition holds, for a long limit. @return whether it came to hold
 bool WaitFor(const std::function<bool()>& aCondition);
 
 /// Runs a program to its end and gives what it printed.
-struct Finished
+struct ProcessResult
 {
   int m_exitCode = 0;
   std::string m_output;
 };
-Finished RunToEnd(const std::string& aProgram, const std::vector<std::string>& aArguments);
+ProcessResult RunToCompletion(const std::string& aProgram,
+                              const std::vector<std::string>& aArguments);
 
 } // namespace integration
--- a/tests/integration/restore_test.cpp
+++ b/tests/integration/restore_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string Context(int aNumber)
+std::string MakeContext(int aNumber)
 {
   std::string text;
   for (int i = 0; text.size() < 20U * 1024; ++i) {
@@ -16,9 +16,9 @@
   return text;
 }
 
-json Details(const Answer& aAnswer)
+json PromptTokenDetails(const Response& aResponse)
 {
-  return aAnswer.Json()["usage"]["prompt_tokens_details"];
+  return aResponse.Json()["usage"]["prompt_tokens_details"];
 }
 
 } // namespace
@@ -28,190 +28,191 @@
   Deployment m_deployment;
   EntryHost* m_host = nullptr;
 
-  void Begin(const std::vector<std::string>& aStoreArguments = {},
-             const std::string& aFleetExtra = "")
+  void StartDeployment(const std::vector<std::string>& aStoreArguments = {},
+                       const std::string& aFleetExtra = "")
   {
     m_host = &m_deployment.AddHost("h1", "z1", { "--lease", "1500" });
     m_deployment.AddEngine("w1", {}, true);
     m_deployment.AddStore("s1", aStoreArguments, true);
-    m_deployment.Begin(aFleetExtra);
+    m_deployment.StartDeployment(aFleetExtra);
   }
 
-  int Stored()
+  int StoredBlocks()
   {
-    return Get(m_deployment.At("s1").Direct() + "/stat").Json()["blocks"].get<int>();
+    return Get(m_deployment.At("s1").DirectUrl() + "/stat").Json()["blocks"].get<int>();
   }
 
   /// Runs a context once, waits until it is kept and evicts it from the engine.
-  void RunAndEvict(const std::string& aContext, int aStoredAfter)
+  void RunAndEvict(const std::string& aContext, int aMinStoredBlocks)
   {
-    LONGS_EQUAL(200, Send(Ask(*m_host, aContext + "first")).m_status);
-    CHECK(WaitFor([&] { return Stored() >= aStoredAfter; }));
+    LONGS_EQUAL(200, Send(MakeCompletionCall(*m_host, aContext + "first")).m_status);
+    CHECK(WaitFor([&] { return StoredBlocks() >= aMinStoredBlocks; }));
     Evict();
   }
 
   /// Evicts everything from the engine and waits until the gate has heard of it.
   void Evict()
   {
-    m_deployment.At("w1").Faults({ { "evict", true } });
+    m_deployment.At("w1").SetFaults({ { "evict", true } });
     const auto polls = [&] {
-      return Get(m_deployment.At("w1").Direct() + "/ledger").Json()["event_polls"].get<int>();
+      return Get(m_deployment.At("w1").DirectUrl() + "/ledger").Json()["event_polls"].get<int>();
     };
     const int before = polls();
     CHECK(WaitFor([&] { return polls() >= before + 2; }));
   }
 };
 
-TEST(Restore, AReturningPromptIsRestoredAndAnsweredAsIfComputed)
+TEST(Restore, ARepeatedPromptIsRestoredWithTheSameTextAsComputed)
 {
-  Begin();
-  const std::string context = Context(1);
+  StartDeployment();
+  const std::string context = MakeContext(1);
   RunAndEvict(context, 20);
-  const Answer answer = Send(Ask(*m_host, context + "second"));
-  LONGS_EQUAL(20 * 256, Details(answer)["restored_tokens"].get<int>());
-  STRCMP_EQUAL(AnswerAlone(context + "second").c_str(), answer.Text().c_str());
+  const Response response = Send(MakeCompletionCall(*m_host, context + "second"));
+  LONGS_EQUAL(20 * 256, PromptTokenDetails(response)["restored_tokens"].get<int>());
+  STRCMP_EQUAL(ReferenceText(context + "second").c_str(), response.Text().c_str());
 }
 
 TEST(Restore, TruncatedBlocksAreNotUsed)
 {
-  Begin();
-  const std::string context = Context(2);
+  StartDeployment();
+  const std::string context = MakeContext(2);
   RunAndEvict(context, 20);
-  m_deployment.At("s1").Faults({ { "truncate", true } });
+  m_deployment.At("s1").SetFaults({ { "truncate", true } });
   for (int i = 0; i < 3; ++i) {
     const std::string prompt = context + "again" + std::to_string(i);
-    const Answer answer = Send(Ask(*m_host, prompt));
-    LONGS_EQUAL(0, Details(answer)["restored_tokens"].get<int>());
-    STRCMP_EQUAL(AnswerAlone(prompt).c_str(), answer.Text().c_str());
+    const Response response = Send(MakeCompletionCall(*m_host, prompt));
+    LONGS_EQUAL(0, PromptTokenDetails(response)["restored_tokens"].get<int>());
+    STRCMP_EQUAL(ReferenceText(prompt).c_str(), response.Text().c_str());
     Evict();
   }
 }
 
 TEST(Restore, BlocksFreedAndReusedDuringAnImportAreNotUsed)
 {
-  Begin();
-  const std::string context = Context(3);
+  StartDeployment();
+  const std::string context = MakeContext(3);
   RunAndEvict(context, 20);
-  m_deployment.At("s1").Faults({ { "free_on_read", true } });
+  m_deployment.At("s1").SetFaults({ { "free_on_read", true } });
   CHECK(WaitFor([&] {
-    const Answer answer = Send(Ask(*m_host, context + "again"));
-    STRCMP_EQUAL(AnswerAlone(context + "again").c_str(), answer.Text().c_str());
+    const Response response = Send(MakeCompletionCall(*m_host, context + "again"));
+    STRCMP_EQUAL(ReferenceText(context + "again").c_str(), response.Text().c_str());
     Evict();
-    return Get(m_host->Gate() + "/metrics").m_body.find("ferrytray_imports_dropped_total") !=
+    return Get(m_host->GateUrl() + "/metrics").m_body.find("ferrytray_imports_dropped_total") !=
            std::string::npos;
   }));
 }
 
-TEST(Restore, AnotherAccountGetsNothingOfIt)
+TEST(Restore, CachedBlocksAreNotSharedAcrossAccounts)
 {
-  Begin();
-  const std::string context = Context(4);
-  LONGS_EQUAL(200, Send(Ask(*m_host, context)).m_status);
-  CHECK(WaitFor([&] { return Stored() >= 20; }));
-  Call other = Ask(*m_host, context);
+  StartDeployment();
+  const std::string context = MakeContext(4);
+  LONGS_EQUAL(200, Send(MakeCompletionCall(*m_host, context)).m_status);
+  CHECK(WaitFor([&] { return StoredBlocks() >= 20; }));
+  Call other = MakeCompletionCall(*m_host, context);
   other.m_headers.back().second = "Bearer bench-key";
-  const Answer answer = Send(other);
-  LONGS_EQUAL(0, Details(answer)["cached_tokens"].get<int>());
-  STRCMP_EQUAL(AnswerAlone(context, "bench").c_str(), answer.Text().c_str());
+  const Response response = Send(other);
+  LONGS_EQUAL(0, PromptTokenDetails(response)["cached_tokens"].get<int>());
+  STRCMP_EQUAL(ReferenceText(context, "bench").c_str(), response.Text().c_str());
 }
 
-TEST(Restore, ANewWeightVersionUsesNoOldBlocks)
+TEST(Restore, BlocksOfAnOldWeightVersionAreNotUsed)
 {
-  Begin();
-  const std::string context = Context(5);
-  LONGS_EQUAL(200, Send(Ask(*m_host, context)).m_status);
-  CHECK(WaitFor([&] { return Stored() >= 20; }));
+  StartDeployment();
+  const std::string context = MakeContext(5);
+  LONGS_EQUAL(200, Send(MakeCompletionCall(*m_host, context)).m_status);
+  CHECK(WaitFor([&] { return StoredBlocks() >= 20; }));
   LONGS_EQUAL(0, m_deployment.Apply(StandardFile("2")).m_exitCode);
-  Answer answer;
+  Response response;
   CHECK(WaitFor([&] {
-    answer = Send(Ask(*m_host, context));
-    return answer.m_status == 200;
+    response = Send(MakeCompletionCall(*m_host, context));
+    return response.m_status == 200;
   }));
-  LONGS_EQUAL(0, Details(answer)["cached_tokens"].get<int>());
-  STRCMP_EQUAL(AnswerAlone(context, "lab", "2").c_str(), answer.Text().c_str());
+  LONGS_EQUAL(0, PromptTokenDetails(response)["cached_tokens"].get<int>());
+  STRCMP_EQUAL(ReferenceText(context, "lab", "2").c_str(), response.Text().c_str());
 }
 
-TEST(Restore, ARunGoesOnAcrossASwapWithItsOwnVersion)
+TEST(Restore, ARunKeepsItsVersionAcrossAWeightSwap)
 {
   m_host = &m_deployment.AddHost("h1", "z1");
   m_deployment.AddEngine("w1", { "--token-time", "10", "--swap-time", "100" });
-  m_deployment.Begin("    checks_fencing: true\n");
-  const Call call = Ask(*m_host, "across", { { "max_tokens", 300 }, { "stream", true } });
-  const auto answers = SendAll({ call }, [&] {
+  m_deployment.StartDeployment("    checks_fencing: true\n");
+  const Call call =
+    MakeCompletionCall(*m_host, "across", { { "max_tokens", 300 }, { "stream", true } });
+  const auto responses = SendAll({ call }, [&] {
     LONGS_EQUAL(0, m_deployment.Apply(StandardFile("2", "    checks_fencing: true\n")).m_exitCode);
   });
-  STRCMP_EQUAL(AnswerAlone("across", "lab", "1", 300).c_str(), answers.front().Text().c_str());
-  CHECK(answers.front().m_body.find("[DONE]") != std::string::npos);
+  STRCMP_EQUAL(ReferenceText("across", "lab", "1", 300).c_str(), responses.front().Text().c_str());
+  CHECK(responses.front().m_body.find("[DONE]") != std::string::npos);
 }
 
-TEST(Restore, ACutStreamIsResumedWhole)
+TEST(Restore, AnInterruptedStreamIsResumedWithoutGaps)
 {
-  Begin();
-  m_deployment.At("w1").ProxyFaults({ { "cut_reply_after", 700 } });
-  const Answer answer =
-    Send(Ask(*m_host, "resume me", { { "max_tokens", 100 }, { "stream", true } }));
-  STRCMP_EQUAL(AnswerAlone("resume me", "lab", "1", 100).c_str(), answer.Text().c_str());
-  CHECK(answer.m_body.find("[DONE]") != std::string::npos);
-  CHECK(Get(m_host->Gate() + "/metrics").m_body.find("ferrytray_stream_resumes_total") !=
+  StartDeployment();
+  m_deployment.At("w1").SetProxyFaults({ { "cut_reply_after", 700 } });
+  const Response response =
+    Send(MakeCompletionCall(*m_host, "resume me", { { "max_tokens", 100 }, { "stream", true } }));
+  STRCMP_EQUAL(ReferenceText("resume me", "lab", "1", 100).c_str(), response.Text().c_str());
+  CHECK(response.m_body.find("[DONE]") != std::string::npos);
+  CHECK(Get(m_host->GateUrl() + "/metrics").m_body.find("ferrytray_stream_resumes_total") !=
         std::string::npos);
 }
 
-TEST(Restore, ADeadStoreCostsAMissAndNothingElse)
+TEST(Restore, AnUnreachableStoreIsTreatedAsACacheMiss)
 {
-  Begin();
-  const std::string context = Context(6);
+  StartDeployment();
+  const std::string context = MakeContext(6);
   RunAndEvict(context, 20);
   m_deployment.At("s1").m_process.Kill();
-  const Answer answer = Send(Ask(*m_host, context + "again"));
-  STRCMP_EQUAL(AnswerAlone(context + "again").c_str(), answer.Text().c_str());
+  const Response response = Send(MakeCompletionCall(*m_host, context + "again"));
+  STRCMP_EQUAL(ReferenceText(context + "again").c_str(), response.Text().c_str());
 }
 
-TEST(Restore, AStoreKilledDuringAnImportCostsAMiss)
+TEST(Restore, AStoreKilledDuringAnImportIsTreatedAsACacheMiss)
 {
   // Slow link: the import lasts long enough to be cut.
-  Begin({ "--link-bytes-per-second", "20000000", "--bytes-per-block", "1024000" });
-  const std::string context = Context(7);
+  StartDeployment({ "--link-bytes-per-second", "20000000", "--bytes-per-block", "1024000" });
+  const std::string context = MakeContext(7);
   RunAndEvict(context, 20);
-  const auto answers =
-    SendAll({ Ask(*m_host, context + "again") }, [&] { m_deployment.At("s1").m_process.Kill(); });
-  STRCMP_EQUAL(AnswerAlone(context + "again").c_str(), answers.front().Text().c_str());
+  const auto responses = SendAll({ MakeCompletionCall(*m_host, context + "again") },
+                                 [&] { m_deployment.At("s1").m_process.Kill(); });
+  STRCMP_EQUAL(ReferenceText(context + "again").c_str(), responses.front().Text().c_str());
 }
 
-TEST(Restore, MissingCacheEventsAreNoticed)
+TEST(Restore, MissingCacheEventsAreDetected)
 {
-  Begin();
-  m_deployment.At("w1").Faults({ { "hide_events", 5 } });
-  const std::string context = Context(8);
-  LONGS_EQUAL(200, Send(Ask(*m_host, context)).m_status);
+  StartDeployment();
+  m_deployment.At("w1").SetFaults({ { "hide_events", 5 } });
+  const std::string context = MakeContext(8);
+  LONGS_EQUAL(200, Send(MakeCompletionCall(*m_host, context)).m_status);
   CHECK(WaitFor([&] {
-    return Get(m_host->Gate() + "/metrics").m_body.find("ferrytray_cache_event_gaps_total") !=
+    return Get(m_host->GateUrl() + "/metrics").m_body.find("ferrytray_cache_event_gaps_total") !=
            std::string::npos;
   }));
-  const Answer answer = Send(Ask(*m_host, context + "more"));
-  STRCMP_EQUAL(AnswerAlone(context + "more").c_str(), answer.Text().c_str());
+  const Response response = Send(MakeCompletionCall(*m_host, context + "more"));
+  STRCMP_EQUAL(ReferenceText(context + "more").c_str(), response.Text().c_str());
 }
 
-TEST(Restore, AnAnswerOfAnotherVersionIsDroppedBeforeItsFirstToken)
+TEST(Restore, AReplyOfAnotherVersionIsDroppedBeforeItsFirstToken)
 {
-  Begin();
-  m_deployment.At("w1").Faults({ { "answer_version", "9" } });
+  StartDeployment();
+  m_deployment.At("w1").SetFaults({ { "answer_version", "9" } });
   const json stream{ { "stream", true } };
-  const Answer answer =
-    Send(Ask(*m_host, "swapped between", stream, { { "Ferrytray-Idempotent", "false" } }));
-  LONGS_EQUAL(4006, answer.Code());
-  STRCMP_EQUAL("unknown", answer.Run().c_str());
-  CHECK(answer.Text().empty());
+  const Response response = Send(MakeCompletionCall(
+    *m_host, "swapped between", stream, { { "Ferrytray-Idempotent", "false" } }));
+  LONGS_EQUAL(4006, response.ErrorCode());
+  STRCMP_EQUAL("unknown", response.RunState().c_str());
+  CHECK(response.Text().empty());
 }
 
 // Found by the soak: an import begins after the blocks that the engine is thought to have. When
 // those have gone since, what follows them must not be used.
 TEST(Restore, AnImportWhosePrefixWasEvictedIsNotUsed)
 {
-  Begin();
-  const std::string context = Context(9);
+  StartDeployment();
+  const std::string context = MakeContext(9);
   RunAndEvict(context, 20);
-  LONGS_EQUAL(200, Send(Ask(*m_host, context.substr(0, 10U * 1024))).m_status);
-  m_deployment.At("w1").Faults({ { "evict", true } });
-  const Answer answer = Send(Ask(*m_host, context + "again"));
-  STRCMP_EQUAL(AnswerAlone(context + "again").c_str(), answer.Text().c_str());
+  LONGS_EQUAL(200, Send(MakeCompletionCall(*m_host, context.substr(0, 10U * 1024))).m_status);
+  m_deployment.At("w1").SetFaults({ { "evict", true } });
+  const Response response = Send(MakeCompletionCall(*m_host, context + "again"));
+  STRCMP_EQUAL(ReferenceText(context + "again").c_str(), response.Text().c_str());
 }
--- a/tests/soak/soak_checks.cpp
+++ b/tests/soak/soak_checks.cpp
@@ -9,7 +9,7 @@
 {
   std::map<std::string, int> ledger;
   for (const char* name : { "w1", "w2", "w3", "c1", "c2" }) {
-    const json reply = Get(m_deployment.At(name).Direct() + "/ledger").Json();
+    const json reply = Get(m_deployment.At(name).DirectUrl() + "/ledger").Json();
     const json executions =
       reply.is_object() ? reply.value("executions", json::object()) : json::object();
     for (const auto& [request, count] : executions.items()) {
@@ -19,65 +19,67 @@
   return ledger;
 }
 
-void Soak::CheckAnswers(const std::vector<Operation>& aOperations,
-                        const std::vector<std::size_t>& aOperationOf,
-                        const std::vector<Call>& aCalls,
-                        const std::vector<Answer>& aAnswers,
-                        const std::map<std::string, int>& aLedger)
+void Soak::CheckResponses(const std::vector<Operation>& aOperations,
+                          const std::vector<std::size_t>& aOperationOf,
+                          const std::vector<Call>& aCalls,
+                          const std::vector<Response>& aResponses,
+                          const std::map<std::string, int>& aLedger)
 {
-  for (std::size_t i = 0; i < aAnswers.size(); ++i) {
+  for (std::size_t i = 0; i < aResponses.size(); ++i) {
     const Operation& operation = aOperations[aOperationOf[i]];
     const std::string& request = aCalls[i].m_headers.back().second;
-    const Answer& answer = aAnswers[i];
-    const bool broken = answer.m_body.find("\"error\":{") != std::string::npos;
-    const bool whole = answer.m_status == 200 && answer.m_end == net::WireEnd::Complete && !broken;
-    ++m_results[whole                  ? "answered"
-                : answer.m_status == 0 ? "connection lost"
-                                       : "refused or failed: " + RunOf(answer)];
-    if (whole) {
-      CheckText(operation, request, answer);
+    const Response& response = aResponses[i];
+    const bool hasError = response.m_body.find("\"error\":{") != std::string::npos;
+    const bool isComplete =
+      response.m_status == 200 && response.m_end == net::WireEnd::Complete && !hasError;
+    ++m_results[isComplete               ? "answered"
+                : response.m_status == 0 ? "connection lost"
+                                         : "refused or failed: " + RunStateOf(response)];
+    if (isComplete) {
+      CheckText(operation, request, response);
     }
     const auto executed = aLedger.find(request);
-    if (RunOf(answer) == "not_run" && executed != aLedger.end()) {
-      Violation("said not_run but ran: " + request);
+    if (RunStateOf(response) == "not_run" && executed != aLedger.end()) {
+      ReportViolation("said not_run but ran: " + request);
     }
   }
 }
 
-std::string Soak::RunOf(const Answer& aAnswer)
+std::string Soak::RunStateOf(const Response& aResponse)
 {
-  const std::size_t at = aAnswer.m_body.find("\"run\":\"");
+  const std::size_t at = aResponse.m_body.find("\"run\":\"");
   if (at == std::string::npos) {
     return "none";
   }
   const std::size_t start = at + 7;
-  return aAnswer.m_body.substr(start, aAnswer.m_body.find('"', start) - start);
+  return aResponse.m_body.substr(start, aResponse.m_body.find('"', start) - start);
 }
 
 void Soak::CheckText(const Operation& aOperation,
                      const std::string& aRequest,
-                     const Answer& aAnswer)
+                     const Response& aResponse)
 {
-  if (!aOperation.m_model) {
-    const json body = aAnswer.Json();
+  if (!aOperation.m_isModelRequest) {
+    const json body = aResponse.Json();
     if (!body.is_object() || body.value("echo", "") != aOperation.m_body) {
-      Violation("not its own answer: " + aRequest);
+      ReportViolation("not its own answer: " + aRequest);
     }
     return;
   }
-  const std::string text = aAnswer.Text();
-  if (text != Alone(m_alone, aOperation.m_body) && text != Alone(m_aloneNew, aOperation.m_body)) {
-    Violation("answer differs from the one computed alone: " + aRequest);
+  const std::string text = aResponse.Text();
+  if (text != ReferenceTextFrom(m_referenceV1, aOperation.m_body) &&
+      text != ReferenceTextFrom(m_referenceV2, aOperation.m_body)) {
+    ReportViolation("answer differs from the one computed alone: " + aRequest);
   }
 }
 
-std::string Soak::Alone(const Process& aEngine, const std::string& aPrompt)
+std::string Soak::ReferenceTextFrom(const Process& aEngine, const std::string& aPrompt)
 {
-  std::string& text = m_aloneTexts[aEngine.At("listening") + aPrompt];
+  std::string& text = m_referenceTexts[aEngine.At("listening") + aPrompt];
   if (text.empty()) {
     std::vector<std::string> blocks;
     for (std::size_t i = 0; i < aPrompt.size() / 1024; ++i) {
-      blocks.push_back("b" + std::to_string(++m_aloneBlocks));
+      blocks.push_back("b" + std::to_string(++m_lastReferenceBlock));
     }
     const json body{
       { "prompt", aPrompt }, { "max_tokens", 8 }, { "cache_salt", "lab" }, { "x_blocks", blocks }
@@ -87,8 +89,8 @@
   return text;
 }
 
-void Soak::CheckOnce(const std::vector<Operation>& aOperations,
-                     const std::map<std::string, int>& aLedger)
+void Soak::CheckAtMostOnce(const std::vector<Operation>& aOperations,
+                           const std::map<std::string, int>& aLedger)
 {
   for (const Operation& operation : aOperations) {
     int executions = 0;
@@ -96,20 +98,21 @@
       const auto found = aLedger.find(request);
       executions += found == aLedger.end() ? 0 : found->second;
     }
-    if (operation.m_once && executions > 1) {
-      Violation("ran " + std::to_string(executions) + " times: " + operation.m_requests.front());
+    if (operation.m_atMostOnce && executions > 1) {
+      ReportViolation("ran " + std::to_string(executions) +
+                      " times: " + operation.m_requests.front());
     }
   }
 }
 
-void Soak::Violation(const std::string& aWhat)
+void Soak::ReportViolation(const std::string& aWhat)
 {
   std::printf("VIOLATION in round %d: %s\n", m_rounds, aWhat.c_str());
   std::fflush(stdout);
   ++m_violations;
 }
 
-int Soak::Summary()
+int Soak::PrintSummary()
 {
   std::printf(
     "rounds %d, requests %zu, violations %d\n\nresults\n", m_rounds, m_calls, m_violations);
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -12,69 +12,69 @@
   static const std::vector<std::pair<const char*, Fault>> kFaults{
     { "engine reply dropped", &Soak::DropEngineReplies },
     { "engine stream cut", &Soak::CutEngineStream },
-    { "engine cut off", &Soak::CutEngine },
+    { "engine cut off", &Soak::DisconnectEngine },
     { "engine slow", &Soak::SlowEngine },
-    { "engine evicts, events missing", &Soak::Evict },
+    { "engine evicts, events missing", &Soak::EvictEngineCache },
     { "engine killed", &Soak::KillEngine },
     { "service reply dropped", &Soak::DropServiceReplies },
-    { "service cut off", &Soak::CutService },
+    { "service cut off", &Soak::DisconnectService },
     { "service half open", &Soak::HalfOpenService },
     { "store truncates", &Soak::TruncateStore },
-    { "store frees during imports", &Soak::FreeStore },
+    { "store frees during imports", &Soak::FreeStoreBlocksOnRead },
     { "store full", &Soak::FillStore },
-    { "store cut off", &Soak::CutStore },
-    { "platform down", &Soak::PlatformDown },
-    { "platform slow", &Soak::PlatformSlow },
-    { "platform loses replies", &Soak::PlatformLoses },
+    { "store cut off", &Soak::DisconnectStore },
+    { "platform down", &Soak::StopPlatform },
+    { "platform slow", &Soak::SlowPlatform },
+    { "platform loses replies", &Soak::DropPlatformReplies },
     { "keeper paused", &Soak::PauseKeeper },
     { "gate killed", &Soak::KillGate },
-    { "gate stopped as planned", &Soak::StopGate },
+    { "gate stopped as planned", &Soak::TerminateGate },
     { "host replaced", &Soak::ReplaceHost },
-    { "weights swapped", &Soak::Swap },
+    { "weights swapped", &Soak::SwapWeights },
   };
-  const auto& [name, fault] = kFaults[Draw(kFaults.size())];
+  const auto& [name, fault] = kFaults[RandomBelow(kFaults.size())];
   ++m_faults[name];
   return (this->*fault)();
 }
 
 std::function<void()> Soak::DropEngineReplies()
 {
-  AnyEngine().ProxyFaults({ { "drop_replies", 3 } });
-  return [this] { EveryEngine({ { "drop_replies", 0 } }); };
+  RandomEngine().SetProxyFaults({ { "drop_replies", 3 } });
+  return [this] { SetAllEngineProxyFaults({ { "drop_replies", 0 } }); };
 }
 
 std::function<void()> Soak::CutEngineStream()
 {
-  AnyEngine().ProxyFaults({ { "cut_reply_after", 600 } });
-  return [this] { EveryEngine({ { "cut_reply_after", -1 } }); };
+  RandomEngine().SetProxyFaults({ { "cut_reply_after", 600 } });
+  return [this] { SetAllEngineProxyFaults({ { "cut_reply_after", -1 } }); };
 }
 
-std::function<void()> Soak::CutEngine()
+std::function<void()> Soak::DisconnectEngine()
 {
-  AnyEngine().ProxyFaults({ { "cut", true } });
-  return [this] { EveryEngine({ { "cut", false } }); };
+  RandomEngine().SetProxyFaults({ { "cut", true } });
+  return [this] { SetAllEngineProxyFaults({ { "cut", false } }); };
 }
 
 std::function<void()> Soak::SlowEngine()
 {
-  Endpoint& engine = AnyEngine();
-  engine.Faults({ { "slowness", 10 } });
-  return [&engine] { engine.Faults({ { "slowness", 1 } }); };
+  Endpoint& engine = RandomEngine();
+  engine.SetFaults({ { "slowness", 10 } });
+  return [&engine] { engine.SetFaults({ { "slowness", 1 } }); };
 }
 
-std::function<void()> Soak::Evict()
+std::function<void()> Soak::EvictEngineCache()
 {
-  AnyEngine().Faults({ { "evict", true }, { "hide_events", 20 } });
+  RandomEngine().SetFaults({ { "evict", true }, { "hide_events", 20 } });
   return [] {};
 }
 
 std::function<void()> Soak::KillEngine()
 {
-  Endpoint& engine = AnyEngine();
+  Endpoint& engine = RandomEngine();
   engine.m_process.Kill();
   return [this, &engine] {
-    const std::string incarnation = std::to_string(++m_incarnations);
-    std::vector<std::string> arguments = kEngine;
+    const std::string incarnation = std::to_string(++m_lastIncarnation);
+    std::vector<std::string> arguments = kEngineArguments;
     arguments.insert(arguments.end(),
                      { "--incarnation", incarnation, "--weight-version", m_version });
     const std::string name = engine.m_name;
@@ -84,120 +84,120 @@
 
 std::function<void()> Soak::DropServiceReplies()
 {
-  AnyService().ProxyFaults({ { "drop_replies", 4 } });
-  return [this] { EveryService({ { "drop_replies", 0 } }); };
+  RandomService().SetProxyFaults({ { "drop_replies", 4 } });
+  return [this] { SetAllServiceProxyFaults({ { "drop_replies", 0 } }); };
 }
 
-std::function<void()> Soak::CutService()
+std::function<void()> Soak::DisconnectService()
 {
-  AnyService().ProxyFaults({ { "cut", true } });
-  return [this] { EveryService({ { "cut", false } }); };
+  RandomService().SetProxyFaults({ { "cut", true } });
+  return [this] { SetAllServiceProxyFaults({ { "cut", false } }); };
 }
 
 std::function<void()> Soak::HalfOpenService()
 {
-  AnyService().ProxyFaults({ { "half_open", true } });
-  return [this] { EveryService({ { "half_open", false } }); };
+  RandomService().SetProxyFaults({ { "half_open", true } });
+  return [this] { SetAllServiceProxyFaults({ { "half_open", false } }); };
 }
 
 std::function<void()> Soak::TruncateStore()
 {
-  Store({ { "truncate", true } });
-  return [this] { Store({ { "truncate", false } }); };
+  SetStoreFaults({ { "truncate", true } });
+  return [this] { SetStoreFaults({ { "truncate", false } }); };
 }
 
-std::function<void()> Soak::FreeStore()
+std::function<void()> Soak::FreeStoreBlocksOnRead()
 {
-  Store({ { "free_on_read", true } });
-  return [this] { Store({ { "free_on_read", false } }); };
+  SetStoreFaults({ { "free_on_read", true } });
+  return [this] { SetStoreFaults({ { "free_on_read", false } }); };
 }
 
 std::function<void()> Soak::FillStore()
 {
-  Store({ { "full", true } });
-  return [this] { Store({ { "full", false } }); };
+  SetStoreFaults({ { "full", true } });
+  return [this] { SetStoreFaults({ { "full", false } }); };
 }
 
-std::function<void()> Soak::CutStore()
+std::function<void()> Soak::DisconnectStore()
 {
-  m_deployment.At("s1").ProxyFaults({ { "cut", true } });
-  return [this] { m_deployment.At("s1").ProxyFaults({ { "cut", false } }); };
+  m_deployment.At("s1").SetProxyFaults({ { "cut", true } });
+  return [this] { m_deployment.At("s1").SetProxyFaults({ { "cut", false } }); };
 }
 
-std::function<void()> Soak::PlatformDown()
+std::function<void()> Soak::StopPlatform()
 {
-  m_deployment.PlatformFaults({ { "down", true } });
-  return [this] { m_deployment.PlatformFaults({ { "down", false } }); };
+  m_deployment.SetPlatformFaults({ { "down", true } });
+  return [this] { m_deployment.SetPlatformFaults({ { "down", false } }); };
 }
 
-std::function<void()> Soak::PlatformSlow()
+std::function<void()> Soak::SlowPlatform()
 {
-  m_deployment.PlatformFaults({ { "slow_ms", 300 } });
-  return [this] { m_deployment.PlatformFaults({ { "slow_ms", 0 } }); };
+  m_deployment.SetPlatformFaults({ { "slow_ms", 300 } });
+  return [this] { m_deployment.SetPlatformFaults({ { "slow_ms", 0 } }); };
 }
 
-std::function<void()> Soak::PlatformLoses()
+std::function<void()> Soak::DropPlatformReplies()
 {
-  m_deployment.PlatformFaults({ { "lose_replies", 3 } });
-  return [this] { m_deployment.PlatformFaults({ { "lose_replies", 0 } }); };
+  m_deployment.SetPlatformFaults({ { "lose_replies", 3 } });
+  return [this] { m_deployment.SetPlatformFaults({ { "lose_replies", 0 } }); };
 }
 
 std::function<void()> Soak::PauseKeeper()
 {
-  EntryHost& host = AnyHost();
+  EntryHost& host = RandomHost();
   host.m_keeper.Signal(SIGSTOP);
   return [&host] { host.m_keeper.Signal(SIGCONT); };
 }
 
 std::function<void()> Soak::KillGate()
 {
-  EntryHost& host = AnyHost();
+  EntryHost& host = RandomHost();
   host.m_gate.Kill();
-  return [this, &host] { m_deployment.RestartGate(host, kGate); };
+  return [this, &host] { m_deployment.RestartGate(host, kGateArguments); };
 }
 
-std::function<void()> Soak::StopGate()
+std::function<void()> Soak::TerminateGate()
 {
-  EntryHost& host = AnyHost();
+  EntryHost& host = RandomHost();
   const pid_t stopped = host.m_gate.Pid();
   host.m_gate.Signal(SIGTERM);
   return [this, &host, stopped] {
     // Another fault of the round may have ended or replaced it.
     if (host.m_gate.Pid() == stopped) {
       host.m_gate.Wait();
-      m_deployment.RestartGate(host, kGate);
+      m_deployment.RestartGate(host, kGateArguments);
     }
   };
 }
 
 std::function<void()> Soak::ReplaceHost()
 {
-  EntryHost& host = AnyHost();
+  EntryHost& host = RandomHost();
   host.m_keeper.Kill();
   host.m_gate.Kill();
   const std::string name = host.m_name;
   const std::string zone = host.m_zone;
-  return [this, name, zone] { m_deployment.AddHost(name, zone, kKeeper, kGate); };
+  return [this, name, zone] { m_deployment.AddHost(name, zone, kKeeperArguments, kGateArguments); };
 }
 
-std::function<void()> Soak::Swap()
+std::function<void()> Soak::SwapWeights()
 {
   m_version = m_version == "1" ? "2" : "1";
-  m_deployment.Operate({ "status" });
-  return [this] { m_deployment.Apply(StandardFile(m_version, kExtra)); };
+  m_deployment.RunCli({ "status" });
+  return [this] { m_deployment.Apply(StandardFile(m_version, kFleetSettings)); };
 }
 
-void Soak::EveryEngine(const json& aFaults)
+void Soak::SetAllEngineProxyFaults(const json& aFaults)
 {
   for (const char* name : { "w1", "w2", "w3" }) {
-    m_deployment.At(name).ProxyFaults(aFaults);
+    m_deployment.At(name).SetProxyFaults(aFaults);
   }
 }
 
-void Soak::EveryService(const json& aFaults)
+void Soak::SetAllServiceProxyFaults(const json& aFaults)
 {
   for (const char* name : { "c1", "c2" }) {
-    m_deployment.At(name).ProxyFaults(aFaults);
+    m_deployment.At(name).SetProxyFaults(aFaults);
   }
 }
 
--- a/tests/suspension_test.cpp
+++ b/tests/suspension_test.cpp
@@ -40,7 +40,7 @@
 }
 ;
 
-TEST(Suspension, TimePassesWhileTheHostIsSuspended)
+TEST(Suspension, MonotonicTimeIncludesSuspension)
 {
   const base::TimePoint before = base::MonotonicNow();
   g_suspendedSeconds = 5;
@@ -48,7 +48,7 @@
   CHECK(passed >= 5s && passed < 60s);
 }
 
-TEST(Suspension, ALeaseThatRanOutMeanwhileIsNotHeldAndWhatWasHeardIsOld)
+TEST(Suspension, LeasesAndKnowledgeExpireDuringSuspension)
 {
   control::OrderLease lease("self", {});
   lease.OnRead(0, "", base::MonotonicNow());
@@ -62,7 +62,7 @@
   CHECK(base::MayBeBehind(heardAt, 2s, base::MonotonicNow()));
 }
 
-TEST(Suspension, WhatFellDueMeanwhileIsDoneSoonAfterAndNotTheWholeDelayLater)
+TEST(Suspension, TimersDueDuringSuspensionFireSoonAfterResume)
 {
   net::Loop loop;
   bool due = false;
