--- a/src/ferrytray/peers/peer_exchange_test.cpp
+++ b/src/ferrytray/peers/peer_exchange_test.cpp
@@ -7,70 +7,70 @@
 
 using namespace ferrytray;
 using namespace std::chrono_literals;
-using support::NewsHost;
+using support::PeerHost;
 
-TEST_GROUP_BASE(PeerExchange, support::NewsFixture){};
+TEST_GROUP_BASE(PeerExchange, support::PeerExchangeFixture){};
 
 TEST(PeerExchange, HostWithMoreCapacityReadsAndTheOtherFollowsIt)
 {
-  CHECK(Until([&] { return m_reader->m_direct; }));
-  ReaderHears(1, true);
-  CHECK(Until([&] { return m_follower->MayFetch(); }));
-  CHECK_FALSE(m_follower->m_direct);
-  ReaderHears(1, false);
-  CHECK(Until([&] { return !m_follower->MayFetch(); }));
+  CHECK(RunUntil([&] { return m_reader->m_isReader; }));
+  UpdateReaderStore(1, true);
+  CHECK(RunUntil([&] { return m_follower->MayFetch(); }));
+  CHECK_FALSE(m_follower->m_isReader);
+  UpdateReaderStore(1, false);
+  CHECK(RunUntil([&] { return !m_follower->MayFetch(); }));
 }
 
 TEST(PeerExchange, HostsExchangeTheirLoads)
 {
-  m_reader->m_own = { { 1, 5 }, { 2, 1 } };
-  m_follower->m_own = { { 1, 3 } };
-  CHECK(Until([&] { return m_follower->m_others.RemoteLoad(1) == 5; }));
-  CHECK(Until([&] { return m_reader->m_others.RemoteLoad(1) == 3; }));
-  m_reader->m_own = {};
-  CHECK(Until([&] { return m_follower->m_others.RemoteLoad(1) == 0; }));
+  m_reader->m_localLoads = { { 1, 5 }, { 2, 1 } };
+  m_follower->m_localLoads = { { 1, 3 } };
+  CHECK(RunUntil([&] { return m_follower->m_peerLoads.RemoteLoad(1) == 5; }));
+  CHECK(RunUntil([&] { return m_reader->m_peerLoads.RemoteLoad(1) == 3; }));
+  m_reader->m_localLoads = {};
+  CHECK(RunUntil([&] { return m_follower->m_peerLoads.RemoteLoad(1) == 0; }));
 }
 
 TEST(PeerExchange, FollowerReadsDirectlyWhenTheReaderIsGone)
 {
-  ReaderHears(1, true);
-  CHECK(Until([&] { return m_follower->MayFetch(); }));
-  m_reader->m_news.Stop();
+  UpdateReaderStore(1, true);
+  CHECK(RunUntil([&] { return m_follower->MayFetch(); }));
+  m_reader->m_exchange.Stop();
   m_reader.reset();
-  CHECK(Until([&] { return m_follower->m_direct; }));
+  CHECK(RunUntil([&] { return m_follower->m_isReader; }));
 }
 
 TEST(PeerExchange, FollowerReadsDirectlyWhenTheReaderIsLeaving)
 {
-  CHECK(Until([&] { return m_reader->m_direct; }));
-  m_reader->m_news.Leave();
-  CHECK(Until([&] { return m_follower->m_direct; }));
+  CHECK(RunUntil([&] { return m_reader->m_isReader; }));
+  m_reader->m_exchange.Leave();
+  CHECK(RunUntil([&] { return m_follower->m_isReader; }));
 }
 
 TEST(PeerExchange, HostDoesNotRegisterAgainIfItsRecordExists)
 {
-  CHECK(Until([&] { return m_reader->m_direct; }));
+  CHECK(RunUntil([&] { return m_reader->m_isReader; }));
   const auto enrolled = m_reader->m_log.m_topics["hosts"];
-  NewsHost again(m_loop, *m_client, "reader", 9);
+  PeerHost again(m_loop, *m_client, "reader", 9);
   store::Record own = enrolled.front();
   // The restarted host listens on its former address.
   again.m_log.m_topics["hosts"] = { own };
-  m_reader->m_news.Stop();
+  m_reader->m_exchange.Stop();
   const std::string address = peers::DecodePeer(own.m_value)->m_address;
   m_reader.reset();
-  peers::PeerExchangeOptions options = NewsHost::OptionsOf("reader", 9, "z", 1);
+  peers::PeerExchangeOptions options = PeerHost::OptionsOf("reader", 9, "z", 1);
   options.m_listen = net::ParseAddress(address).value();
   peers::PeerExchange rejoined(m_loop,
                                *m_client,
                                again.m_log,
                                again.m_stores,
-                               again.m_others,
+                               again.m_peerLoads,
                                again.m_reloads,
                                again.m_crashes,
                                options);
   rejoined.SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
   CHECK(rejoined.Start().has_value());
-  CHECK(Until([&] { return again.m_log.m_reads > 0; }));
+  CHECK(RunUntil([&] { return again.m_log.m_reads > 0; }));
   m_loop.RunFor(50ms);
   LONGS_EQUAL(1, again.m_log.m_topics["hosts"].size());
   rejoined.Stop();
@@ -83,39 +83,39 @@
   constexpr std::size_t kHosts = 60;
   support::MemoryRecordLog log;
   log.AppendKeyed("t", "a", "1", [](const auto&) {});
-  std::vector<std::unique_ptr<NewsHost>> hosts;
+  std::vector<std::unique_ptr<PeerHost>> hosts;
   std::vector<std::shared_ptr<store::TopicFollower>> topics;
   std::vector<std::string> keys(kHosts);
   std::vector<std::unique_ptr<peers::PeerExchange>> exchanges;
   for (std::size_t i = 0; i < kHosts; ++i) {
     const std::string name = "h" + std::to_string(i);
-    hosts.push_back(std::make_unique<NewsHost>(m_loop, *m_client, name, i == 0 ? 9 : 1));
-    peers::PeerExchangeOptions options = NewsHost::OptionsOf(name, i == 0 ? 9 : 1, "z", 1);
+    hosts.push_back(std::make_unique<PeerHost>(m_loop, *m_client, name, i == 0 ? 9 : 1));
+    peers::PeerExchangeOptions options = PeerHost::OptionsOf(name, i == 0 ? 9 : 1, "z", 1);
     options.m_firstHostsReadDelay = 300ms;
     options.m_topicRelayTimeout = 60s;
-    NewsHost& host = *hosts.back();
+    PeerHost& host = *hosts.back();
     exchanges.push_back(std::make_unique<peers::PeerExchange>(m_loop,
                                                               *m_client,
                                                               log,
                                                               host.m_stores,
-                                                              host.m_others,
+                                                              host.m_peerLoads,
                                                               host.m_reloads,
                                                               host.m_crashes,
                                                               options));
     exchanges.back()->SetOwnLoadsProvider([] { return peers::EndpointLoads{}; });
-    topics.push_back(FollowWith(*exchanges.back(), log, keys[i]));
+    topics.push_back(AddFollowerTo(*exchanges.back(), log, keys[i]));
   }
   for (const auto& exchange : exchanges) {
     CHECK(exchange->Start().has_value());
   }
-  CHECK(Until([&] {
+  CHECK(RunUntil([&] {
     return std::all_of(
       keys.begin(), keys.end(), [](const std::string& aKeys) { return aKeys == "a"; });
   }));
-  LONGS_EQUAL(1, log.m_snapshotsOf["t"]);
+  LONGS_EQUAL(1, log.m_snapshotReadsByTopic["t"]);
   LONGS_EQUAL(kHosts, log.m_topics["hosts"].size());
   // Two reads of each host, and a few more of the reader.
-  CHECK(log.m_snapshotsOf["hosts"] < 3 * kHosts);
+  CHECK(log.m_snapshotReadsByTopic["hosts"] < 3 * kHosts);
   for (std::size_t i = 0; i < kHosts; ++i) {
     topics[i]->Stop();
     exchanges[i]->Stop();
@@ -124,7 +124,7 @@
 
 TEST(PeerExchange, RejectsAMalformedSyncRequest)
 {
-  CHECK(Until([&] { return m_reader->m_direct; }));
+  CHECK(RunUntil([&] { return m_reader->m_isReader; }));
   const auto peer = peers::DecodePeer(m_reader->m_log.m_topics["hosts"].front().m_value);
   net::ClientRequest request;
   request.m_method = "POST";
@@ -134,16 +134,17 @@
   m_client->Fetch(std::move(request), [&](const net::ClientOutcome& aOutcome, const std::string&) {
     status = aOutcome.m_status;
   });
-  CHECK(Until([&] { return status != 0; }));
+  CHECK(RunUntil([&] { return status != 0; }));
   LONGS_EQUAL(400, status);
 }
 
 TEST(PeerExchange, AnswersPlacementRequestsAndRejectsMalformedOnes)
 {
-  CHECK(Until([&] { return m_reader->m_direct; }));
-  const std::optional<peers::Peer> host = m_reader->m_news.PlacementHost("z", base::MonotonicNow());
-  CHECK(host && m_reader->m_news.IsSelf(*host));
-  m_reader->m_news.OnPlacement([](const peers::PlacementRequest& aRequest) {
+  CHECK(RunUntil([&] { return m_reader->m_isReader; }));
+  const std::optional<peers::Peer> host =
+    m_reader->m_exchange.PlacementHost("z", base::MonotonicNow());
+  CHECK(host && m_reader->m_exchange.IsSelf(*host));
+  m_reader->m_exchange.OnPlacement([](const peers::PlacementRequest& aRequest) {
     return peers::PlacementReply{ aRequest.m_key + "!", "", true, false };
   });
   std::string engine;
@@ -152,11 +153,11 @@
   bool answered = false;
   for (int i = 0; i < 100 && engine.empty(); ++i) { // the loop of the test may be slow
     answered = false;
-    m_follower->m_news.RequestPlacement(*host, placementRequest, [&](const auto& aReply) {
+    m_follower->m_exchange.RequestPlacement(*host, placementRequest, [&](const auto& aReply) {
       answered = true;
       engine = aReply ? aReply->m_engine : "";
     });
-    CHECK(Until([&] { return answered; }));
+    CHECK(RunUntil([&] { return answered; }));
   }
   STRCMP_EQUAL("k!", engine.c_str());
   net::ClientRequest request;
@@ -167,6 +168,6 @@
   m_client->Fetch(std::move(request), [&](const net::ClientOutcome& aOutcome, const std::string&) {
     status = aOutcome.m_status;
   });
-  CHECK(Until([&] { return status != 0; }));
+  CHECK(RunUntil([&] { return status != 0; }));
   LONGS_EQUAL(400, status);
 }
--- a/src/ferrytray/peers/peer_notices_test.cpp
+++ b/src/ferrytray/peers/peer_notices_test.cpp
@@ -7,26 +7,27 @@
 
 using namespace ferrytray;
 using namespace std::chrono_literals;
-using support::NewsHost;
+using support::PeerHost;
 
-TEST_GROUP_BASE(PeerNotices, support::NewsFixture){};
+TEST_GROUP_BASE(PeerNotices, support::PeerExchangeFixture){};
 
 TEST(PeerNotices, ReloadNoticesReachTheFollower)
 {
-  CHECK(Until([&] { return m_reader->m_direct && m_follower->m_others.RemoteLoad(0) == 0; }));
+  CHECK(
+    RunUntil([&] { return m_reader->m_isReader && m_follower->m_peerLoads.RemoteLoad(0) == 0; }));
   m_reader->m_reloads.OnNotice({ 7, "m", 2, 60'000, 1 }, base::MonotonicNow());
   bool received = false;
-  m_follower->m_news.OnReloads([&] { received = true; });
-  CHECK(Until([&] { return received; }));
+  m_follower->m_exchange.OnReloads([&] { received = true; });
+  CHECK(RunUntil([&] { return received; }));
   CHECK(m_follower->m_reloads.IsReloading(7, base::MonotonicNow()));
 }
 
 TEST(PeerNotices, ReplacementNoticesReachTheReader)
 {
   peers::IncarnationKey received = 0;
-  m_reader->m_news.OnReplaced([&](peers::IncarnationKey aKey) { received = aKey; });
-  m_follower->m_news.ReportReplaced("e/1");
-  CHECK(Until([&] { return received == peers::KeyOf("e/1"); }));
+  m_reader->m_exchange.OnReplaced([&](peers::IncarnationKey aKey) { received = aKey; });
+  m_follower->m_exchange.ReportReplaced("e/1");
+  CHECK(RunUntil([&] { return received == peers::KeyOf("e/1"); }));
 }
 
 TEST(PeerNotices, BrokenAttemptsAreCountedAcrossHosts)
@@ -36,24 +37,25 @@
   m_reader->m_crashes.OnConnectionBroken(request, 10, now, now);
   m_follower->m_crashes.OnConnectionBroken(request, 20, now, now);
   m_follower->m_crashes.OnConnectionBroken(request, 30, now, now);
-  CHECK(Until([&] {
+  CHECK(RunUntil([&] {
     return m_reader->m_crashes.IsQuarantined(request) &&
            m_follower->m_crashes.IsQuarantined(request);
   }));
   // A host that has answered the request completely lifts the quarantine on all hosts.
   m_follower->m_crashes.OnCompleteAnswer(request);
-  CHECK(Until([&] { return !m_reader->m_crashes.IsQuarantined(request); }));
+  CHECK(RunUntil([&] { return !m_reader->m_crashes.IsQuarantined(request); }));
 }
 
 TEST(PeerNotices, AHostIsIsolatedWhenKnownPeersAreSilent)
 {
-  CHECK(Until([&] { return !m_follower->m_news.IsIsolated(1h, base::MonotonicNow()); }));
-  CHECK(Until([&] { return !m_reader->m_news.IsIsolated(1h, base::MonotonicNow()); }));
-  CHECK(Until([&] { return m_follower->m_news.IsIsolated(1s, base::MonotonicNow() + 1min); }));
-  NewsHost single(m_loop, *m_client, "single", 1);
-  CHECK(single.m_news.Start().has_value());
-  CHECK_FALSE(single.m_news.IsIsolated(1s, base::MonotonicNow() + 1min));
-  single.m_news.Stop();
+  CHECK(RunUntil([&] { return !m_follower->m_exchange.IsIsolated(1h, base::MonotonicNow()); }));
+  CHECK(RunUntil([&] { return !m_reader->m_exchange.IsIsolated(1h, base::MonotonicNow()); }));
+  CHECK(
+    RunUntil([&] { return m_follower->m_exchange.IsIsolated(1s, base::MonotonicNow() + 1min); }));
+  PeerHost single(m_loop, *m_client, "single", 1);
+  CHECK(single.m_exchange.Start().has_value());
+  CHECK_FALSE(single.m_exchange.IsIsolated(1s, base::MonotonicNow() + 1min));
+  single.m_exchange.Stop();
 }
 
 TEST(PeerNotices, CrashNoticesAreResentAfterAReaderRestarts)
@@ -69,18 +71,18 @@
   };
   const auto server = std::move(*net::HttpServer::Create(m_loop, {}, answer));
   const peers::Peer strong{ "strong", "z", net::ToString(server->ListenAddress()), 9 };
-  NewsHost host(m_loop, *m_client, "weak", 1);
+  PeerHost host(m_loop, *m_client, "weak", 1);
   host.m_log.AppendKeyed("hosts", "strong", peers::Encode(strong), [](const auto&) {});
   host.m_crashes.OnConnectionBroken({ 1, 2 }, 10, base::MonotonicNow(), base::MonotonicNow());
-  CHECK(host.m_news.Start().has_value());
-  CHECK(Until([&] { return noticeCounts.size() >= 3; }));
+  CHECK(host.m_exchange.Start().has_value());
+  CHECK(RunUntil([&] { return noticeCounts.size() >= 3; }));
   LONGS_EQUAL(1, noticeCounts[0]);
   LONGS_EQUAL(0, noticeCounts[1]); // it has been sent before
   incarnation = 2;
   const std::size_t before = noticeCounts.size();
-  CHECK(Until([&] { return noticeCounts.size() >= before + 4; }));
+  CHECK(RunUntil([&] { return noticeCounts.size() >= before + 4; }));
   LONGS_EQUAL(
     1,
     std::count(noticeCounts.begin() + static_cast<std::ptrdiff_t>(before), noticeCounts.end(), 1U));
-  host.m_news.Stop();
+  host.m_exchange.Stop();
 }
--- a/src/ferrytray/peers/peer_topics_test.cpp
+++ b/src/ferrytray/peers/peer_topics_test.cpp
@@ -8,9 +8,9 @@
 
 using namespace ferrytray;
 using namespace std::chrono_literals;
-using support::NewsHost;
+using support::PeerHost;
 
-TEST_GROUP_BASE(PeerTopics, support::NewsFixture){};
+TEST_GROUP_BASE(PeerTopics, support::PeerExchangeFixture){};
 
 TEST(PeerTopics, AFollowerReceivesTheFullTopicWithoutReadingTheLog)
 {
@@ -19,13 +19,13 @@
   m_reader->m_log.AppendKeyed("t", "a", "2", [](const auto&) {});
   std::string readerKeys;
   std::string followerKeys;
-  const auto readerTopic = Follow(*m_reader, readerKeys);
-  const auto followerTopic = Follow(*m_follower, followerKeys);
-  CHECK(Until([&] { return !followerKeys.empty(); }));
+  const auto readerTopic = AddFollower(*m_reader, readerKeys);
+  const auto followerTopic = AddFollower(*m_follower, followerKeys);
+  CHECK(RunUntil([&] { return !followerKeys.empty(); }));
   STRCMP_EQUAL("ba", followerKeys.c_str()); // in the order of the newest records
-  LONGS_EQUAL(0, m_follower->m_log.m_readsOf["t"]);
+  LONGS_EQUAL(0, m_follower->m_log.m_readsByTopic["t"]);
   m_reader->m_log.AppendKeyed("t", "c", "1", [](const auto&) {});
-  CHECK(Until([&] { return followerKeys == "bac"; }));
+  CHECK(RunUntil([&] { return followerKeys == "bac"; }));
   readerTopic->Stop();
   followerTopic->Stop();
 }
@@ -34,8 +34,8 @@
 {
   m_follower->m_log.AppendKeyed("t", "a", "1", [](const auto&) {});
   std::string keys;
-  const auto topic = Follow(*m_follower, keys); // the reader does not follow this topic
-  CHECK(Until([&] { return keys == "a"; }));
+  const auto topic = AddFollower(*m_follower, keys); // the reader does not follow this topic
+  CHECK(RunUntil([&] { return keys == "a"; }));
   topic->Stop();
 }
 
@@ -43,15 +43,15 @@
 {
   std::string readerKeys;
   std::string followerKeys;
-  const auto readerTopic = Follow(*m_reader, readerKeys);
-  const auto followerTopic = Follow(*m_follower, followerKeys);
+  const auto readerTopic = AddFollower(*m_reader, readerKeys);
+  const auto followerTopic = AddFollower(*m_follower, followerKeys);
   readerTopic->Start();
   followerTopic->Start();
-  m_reader->m_own = { { 1, 5 } };
-  CHECK(Until([&] { return m_follower->m_others.RemoteLoad(1) == 5; }));
+  m_reader->m_localLoads = { { 1, 5 } };
+  CHECK(RunUntil([&] { return m_follower->m_peerLoads.RemoteLoad(1) == 5; }));
   m_follower->m_log.m_down = true;
   m_reader->m_log.AppendKeyed("t", "k", "v", [](const auto&) {});
-  CHECK(Until([&] { return followerKeys == "k"; }));
+  CHECK(RunUntil([&] { return followerKeys == "k"; }));
   STRCMP_EQUAL("k", readerKeys.c_str());
   readerTopic->Stop();
   followerTopic->Stop();
@@ -63,10 +63,10 @@
 {
   m_reader->m_log.AppendKeyed("t", "a", "1", [](const auto&) {});
   m_reader->m_log.AppendKeyed("quiet", "b", "1", [](const auto&) {});
-  m_reader->m_log.m_silentFor = "quiet";
+  m_reader->m_log.m_unansweredTopic = "quiet";
   std::string keys;
-  const auto live = Follow(*m_reader, keys);
-  const auto quiet = FollowWith(m_reader->m_news, m_reader->m_log, keys, "quiet");
+  const auto live = AddFollower(*m_reader, keys);
+  const auto quiet = AddFollowerTo(m_reader->m_exchange, m_reader->m_log, keys, "quiet");
   live->Start();
   quiet->Start();
   STRCMP_EQUAL("ab", keys.c_str());
@@ -76,7 +76,7 @@
   CHECK(quiet->UpdateSince(cursor, now)->m_age >= 300ms);
   peers::SyncRequest syncRequest;
   syncRequest.m_topics = { { "t", 1, false }, cursor };
-  const peers::SyncReply reply = AskReader(syncRequest);
+  const peers::SyncReply reply = SendToReader(syncRequest);
   LONGS_EQUAL(2, reply.m_topics.size());
   CHECK(reply.m_topics[1].m_age >= 300ms);
   live->Stop();
@@ -87,15 +87,15 @@
 TEST(PeerTopics, AFallbackReaderServesHostsWhoseReaderLostTheLog)
 {
   const auto make = [&](const char* aName, std::uint32_t aCapacity, const char* aZone) {
-    return std::make_unique<NewsHost>(m_loop, *m_client, aName, aCapacity, aZone, 2);
+    return std::make_unique<PeerHost>(m_loop, *m_client, aName, aCapacity, aZone, 2);
   };
-  std::vector<std::unique_ptr<NewsHost>> hosts;
+  std::vector<std::unique_ptr<PeerHost>> hosts;
   hosts.push_back(make("near", 9, "here"));
   hosts.push_back(make("follower", 1, "here"));
   hosts.push_back(make("far", 9, "there"));
   std::vector<store::Record> records;
   for (const auto& host : hosts) {
-    CHECK(host->m_news.Start().has_value());
+    CHECK(host->m_exchange.Start().has_value());
     records.push_back(host->m_log.m_topics["hosts"].front());
     records.back().m_offset = records.size() - 1;
   }
@@ -115,16 +115,17 @@
     topics.push_back(
       std::make_shared<store::TopicFollower>(m_loop, hosts[i]->m_log, options, std::move(events)));
     topics.back()->Start();
-    hosts[i]->m_news.AddTopic(topics.back());
+    hosts[i]->m_exchange.AddTopic(topics.back());
   }
-  CHECK(Until([&] { return hosts[0]->m_direct && hosts[2]->m_direct && !hosts[1]->m_direct; }));
+  CHECK(RunUntil(
+    [&] { return hosts[0]->m_isReader && hosts[2]->m_isReader && !hosts[1]->m_isReader; }));
   hosts[0]->m_log.m_down = true;
   hosts[1]->m_log.m_down = true;
-  CHECK(Until([&] { return topics[0]->IsUnreachable(); }));
+  CHECK(RunUntil([&] { return topics[0]->IsUnreachable(); }));
   hosts[2]->m_log.AppendKeyed("t", "k", "v", [](const auto&) {});
-  CHECK(Until([&] { return keys[0] == "k" && keys[1] == "k"; }));
+  CHECK(RunUntil([&] { return keys[0] == "k" && keys[1] == "k"; }));
   for (std::size_t i = 0; i < hosts.size(); ++i) {
     topics[i]->Stop();
-    hosts[i]->m_news.Stop();
+    hosts[i]->m_exchange.Stop();
   }
 }
--- a/src/ferrytray/relay/cold_engines_test.cpp
+++ b/src/ferrytray/relay/cold_engines_test.cpp
@@ -199,11 +199,11 @@
   DeclareColdTraits(kColdPerSecond);
   m_core.m_coldStarts.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
   for (int i = 0; i < 5; ++i) {
-    Ask("/stream/x", "k", "m");
-    STRCMP_EQUAL("b", Sent("to").c_str());
+    SendRequest("/stream/x", "k", "m");
+    STRCMP_EQUAL("b", SentHeader("to").c_str());
   }
   m_core.m_coldStarts.OnColdTimeReported("b", 10s, true, base::MonotonicNow());
-  const auto refused = Ask("/stream/x", "k", "m");
+  const auto refused = SendRequest("/stream/x", "k", "m");
   LONGS_EQUAL(503, refused->m_status);
   STRCMP_EQUAL("not_run", refused->Header("run").c_str());
 }
@@ -215,17 +215,17 @@
   m_core.m_coldStarts.OnColdTimeReported("a", 10s, true, base::MonotonicNow());
   m_core.m_coldStarts.OnColdTimeReported("b", 10s, true, base::MonotonicNow());
   const std::size_t before = m_client.m_calls.size();
-  LONGS_EQUAL(0, Ask("/stream/x", "k", "m")->m_status);
-  STRCMP_EQUAL("a", Sent("to").c_str());
-  LONGS_EQUAL(503, Ask("/stream/x", "k", "m")->m_status);
+  LONGS_EQUAL(0, SendRequest("/stream/x", "k", "m")->m_status);
+  STRCMP_EQUAL("a", SentHeader("to").c_str());
+  LONGS_EQUAL(503, SendRequest("/stream/x", "k", "m")->m_status);
   LONGS_EQUAL(before + 1, m_client.m_calls.size());
 }
 
 TEST(ColdEngines, UnreachableEngineIsSuspectedCold)
 {
   DeclareColdTraits(kColdPerSecond);
-  Ask("/once/x", "k", "m");
-  const std::string first = Sent("to");
+  SendRequest("/once/x", "k", "m");
+  const std::string first = SentHeader("to");
   m_client.End(WireEnd::NotSent);
   CHECK(m_core.m_coldStarts.IsCold(first, base::MonotonicNow() + 5s));
 }
--- a/src/ferrytray/relay/exchange_admission_test.cpp
+++ b/src/ferrytray/relay/exchange_admission_test.cpp
@@ -8,8 +8,8 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 using net::WireEnd;
-using support::kEngineMemory;
-using support::kLongPrompt;
+using support::kEngineMemoryTokens;
+using support::kLongPromptTokens;
 
 TEST_GROUP_BASE(ExchangeAdmission, support::ExchangeFixture){};
 
@@ -19,7 +19,7 @@
 {
   while (m_core.m_retryWindow.TryRetry("s", base::MonotonicNow())) {
   }
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(2, m_client.m_calls.size());
   m_client.Head(503, { { "not-run", "1" } });
@@ -30,28 +30,28 @@
 
 TEST(ExchangeAdmission, RefusesLongPromptWhenEngineMemoryIsFull)
 {
-  const auto taken = static_cast<std::uint16_t>(kEngineMemory / routing::kTokensPerWork);
+  const auto taken = static_cast<std::uint16_t>(kEngineMemoryTokens / routing::kTokensPerWork);
   m_core.m_peerLoads.OnReport("other",
                               peers::LoadScope::Own,
                               { { peers::TagOf("a"), taken }, { peers::TagOf("b"), taken } },
                               base::MonotonicNow());
-  const auto refused = Ask("/stream/x", "k", "long");
+  const auto refused = SendRequest("/stream/x", "k", "long");
   LONGS_EQUAL(503, refused->m_status);
   STRCMP_EQUAL("not_run", refused->Header("run").c_str());
   STRCMP_EQUAL("yes", refused->Header("come-back").c_str());
   LONGS_EQUAL(0, m_client.m_calls.size());
-  Ask("/stream/x", "k", "m");
+  SendRequest("/stream/x", "k", "m");
   LONGS_EQUAL(1, m_client.m_calls.size());
 }
 
 TEST(ExchangeAdmission, ShortPromptsRankBeforeLongOnesOfEqualPriority)
 {
-  Ask("/stream/x", "k", "m");
-  STRCMP_EQUAL("0", Sent("rank").c_str());
-  Ask("/stream/x", "k", "long");
-  STRCMP_EQUAL("1", Sent("rank").c_str());
-  Ask("/once/x");
-  STRCMP_EQUAL("", Sent("rank").c_str());
+  SendRequest("/stream/x", "k", "m");
+  STRCMP_EQUAL("0", SentHeader("rank").c_str());
+  SendRequest("/stream/x", "k", "long");
+  STRCMP_EQUAL("1", SentHeader("rank").c_str());
+  SendRequest("/once/x");
+  STRCMP_EQUAL("", SentHeader("rank").c_str());
 }
 
 // A burst of long prompts exceeds the memory of the remaining engines. Those that fit are sent; the
@@ -62,11 +62,11 @@
   int refused = 0;
   std::vector<std::shared_ptr<support::FakeReply>> replies;
   for (int i = 0; i < kBurst; ++i) {
-    replies.push_back(Ask("/stream/x", "k", "long"));
+    replies.push_back(SendRequest("/stream/x", "k", "long"));
     refused += replies.back()->m_status == 503 ? 1 : 0;
   }
   const auto sent = static_cast<int>(m_client.m_calls.size());
   LONGS_EQUAL(kBurst, sent + refused);
   CHECK(sent >= 2 * 5); // two engines, five prompts each
-  CHECK(static_cast<std::uint64_t>(sent) * kLongPrompt <= 2 * kEngineMemory);
+  CHECK(static_cast<std::uint64_t>(sent) * kLongPromptTokens <= 2 * kEngineMemoryTokens);
 }
--- a/src/ferrytray/relay/exchange_quarantine_test.cpp
+++ b/src/ferrytray/relay/exchange_quarantine_test.cpp
@@ -7,7 +7,7 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 using net::WireEnd;
-using support::EndpointOf;
+using support::MakeEndpoint;
 
 TEST_GROUP_BASE(ExchangeQuarantine, support::ExchangeFixture){};
 
@@ -16,28 +16,28 @@
 TEST(ExchangeQuarantine, RequestIsQuarantinedAfterThreeEndpointCrashes)
 {
   for (const char* name : { "c", "d", "e", "f" }) {
-    m_core.m_directory.Upsert(EndpointOf(name), base::MonotonicNow());
+    m_core.m_directory.Upsert(MakeEndpoint(name), base::MonotonicNow());
   }
   for (int i = 0; i < 3; ++i) {
-    Ask("/once/x", "k", "", "bad");
+    SendRequest("/once/x", "k", "", "bad");
     m_client.End(WireEnd::NoReply);
   }
   const std::size_t sent = m_client.m_calls.size();
-  const auto reply = Ask("/once/x", "k", "", "bad");
+  const auto reply = SendRequest("/once/x", "k", "", "bad");
   LONGS_EQUAL(sent, m_client.m_calls.size());
   LONGS_EQUAL(503, reply->m_status);
   STRCMP_EQUAL("not_run", reply->Header("run").c_str());
   STRCMP_EQUAL("yes", reply->Header("come-back").c_str());
   // Requests with another body or path are served.
-  Ask("/once/x", "k", "", "good");
-  Ask("/again/x", "k", "", "bad");
+  SendRequest("/once/x", "k", "", "good");
+  SendRequest("/again/x", "k", "", "bad");
   LONGS_EQUAL(sent + 2, m_client.m_calls.size());
 }
 
 TEST(ExchangeQuarantine, QuarantinedRequestIsNotRetried)
 {
   const base::TimePoint now = base::MonotonicNow();
-  const auto reply = Ask("/again/x", "k", "", "bad");
+  const auto reply = SendRequest("/again/x", "k", "", "bad");
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/again/x", "bad" });
   m_core.m_crashes.OnConnectionBroken(key, 1, now, now);
   m_core.m_crashes.OnConnectionBroken(key, 2, now, now);
@@ -49,18 +49,18 @@
 TEST(ExchangeQuarantine, TimeoutsErrorRepliesAndLeavingEndpointsAreNotCrashes)
 {
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
-  Ask("/once/x", "k", "", "b");
+  SendRequest("/once/x", "k", "", "b");
   net::ClientOutcome timeout;
   timeout.m_end = WireEnd::NoReply;
   timeout.m_timedOut = true;
   const auto events = m_client.m_calls.back().m_events;
   events.m_onEnd(timeout);
-  Ask("/once/x", "k", "", "b");
+  SendRequest("/once/x", "k", "", "b");
   m_client.Head(500, {});
   m_client.End(WireEnd::Complete);
-  fleet::Endpoint a = EndpointOf("a");
-  fleet::Endpoint b = EndpointOf("b");
-  Ask("/once/x", "k", "", "b");
+  fleet::Endpoint a = MakeEndpoint("a");
+  fleet::Endpoint b = MakeEndpoint("b");
+  SendRequest("/once/x", "k", "", "b");
   a.m_leaving = b.m_leaving = true;
   m_core.m_directory.Upsert(a, base::MonotonicNow());
   m_core.m_directory.Upsert(b, base::MonotonicNow());
@@ -76,7 +76,7 @@
   m_core.m_crashes.OnConnectionBroken(key, 1, now, now);
   m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), now - 1s, now - 1s);
   m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("b"), now - 1s, now - 1s);
-  Ask("/once/x", "k", "", "b");
+  SendRequest("/once/x", "k", "", "b");
   m_client.Head(200, {});
   LONGS_EQUAL(1, m_core.m_crashes.Find(other)->m_crashedEndpoints.size());
   m_client.End(WireEnd::Complete);
@@ -86,7 +86,7 @@
 TEST(ExchangeQuarantine, NothingIsSentBeforeQuarantineIsLoaded)
 {
   m_core.m_crashesLoaded = false;
-  LONGS_EQUAL(503, Ask("/once/x")->m_status);
+  LONGS_EQUAL(503, SendRequest("/once/x")->m_status);
   LONGS_EQUAL(0, m_client.m_calls.size());
 }
 
@@ -101,10 +101,10 @@
   m_core.m_claimProbe = [&](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(granted);
   };
-  LONGS_EQUAL(503, Ask("/again/x", "k", "", "b")->m_status);
+  LONGS_EQUAL(503, SendRequest("/again/x", "k", "", "b")->m_status);
   LONGS_EQUAL(0, m_client.m_calls.size());
   granted = true;
-  Ask("/again/x", "k", "", "b");
+  SendRequest("/again/x", "k", "", "b");
   m_client.End(WireEnd::NoReply); // the probe crashes this endpoint too; the host does not retry it
   LONGS_EQUAL(1, m_client.m_calls.size());
   CHECK(m_core.m_crashes.IsQuarantined(key));
@@ -120,7 +120,7 @@
   m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
-  const auto reply = Ask("/again/x", "k", "", "b");
+  const auto reply = SendRequest("/again/x", "k", "", "b");
   m_client.Head(200, {});
   m_client.End(WireEnd::Complete);
   LONGS_EQUAL(200, reply->m_status);
@@ -138,7 +138,7 @@
   const quarantine::RequestKey key = quarantine::KeyOf({ "lab", "", "h", "/once/x", "b" });
   m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), before, before);
   m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("b"), before, before);
-  Ask("/once/x", "k", "", "b");
+  SendRequest("/once/x", "k", "", "b");
   m_client.End(WireEnd::NoReply);
   CHECK_FALSE(m_core.m_crashes.Find(key).has_value());
 }
@@ -156,8 +156,8 @@
     for (quarantine::EndpointKey end = 1; end <= 3; ++end) {
       m_core.m_crashes.OnConnectionBroken(key, end, before, before);
     }
-    Ask("/once/x", "k", "", body);
-    STRCMP_EQUAL("b", Sent("to").c_str());
+    SendRequest("/once/x", "k", "", body);
+    STRCMP_EQUAL("b", SentHeader("to").c_str());
     m_client.Head(200, {});
     m_client.End(WireEnd::Complete);
   }
@@ -173,15 +173,15 @@
   m_core.m_claimProbe = [](const quarantine::RequestKey&, const std::function<void(bool)>& aDone) {
     aDone(true);
   };
-  LONGS_EQUAL(503, Ask("/once/x", "k", "", "b")->m_status);
+  LONGS_EQUAL(503, SendRequest("/once/x", "k", "", "b")->m_status);
   LONGS_EQUAL(0, m_client.m_calls.size());
-  Ask("/once/x", "k", "", "another");
-  const std::string answered = Sent("to");
+  SendRequest("/once/x", "k", "", "another");
+  const std::string answered = SentHeader("to");
   m_client.Head(200, {});
   m_client.End(WireEnd::Complete);
-  Ask("/once/x", "k", "", "b");
+  SendRequest("/once/x", "k", "", "b");
   LONGS_EQUAL(2, m_client.m_calls.size());
-  STRCMP_EQUAL(answered.c_str(), Sent("to").c_str());
+  STRCMP_EQUAL(answered.c_str(), SentHeader("to").c_str());
 }
 
 // Each host used to detect a crashed endpoint only through a request of its own, which then failed
@@ -196,8 +196,8 @@
   };
   m_core.m_crashes.OnNotice(notice, now);
   for (int i = 0; i < 20; ++i) {
-    Ask("/once/x", "k", i % 2 == 0 ? "m" : "", "b" + std::to_string(i));
-    STRCMP_EQUAL("b", Sent("to").c_str());
+    SendRequest("/once/x", "k", i % 2 == 0 ? "m" : "", "b" + std::to_string(i));
+    STRCMP_EQUAL("b", SentHeader("to").c_str());
   }
 }
 
@@ -208,8 +208,8 @@
   m_core.m_crashes.OnConnectionBroken(other, peers::KeyOf("a"), before, before);
   bool used = false;
   for (int i = 0; i < 20; ++i) {
-    Ask("/once/x", "k", "", "b" + std::to_string(i));
-    used = used || Sent("to") == "a";
+    SendRequest("/once/x", "k", "", "b" + std::to_string(i));
+    used = used || SentHeader("to") == "a";
   }
   CHECK(used);
 }
--- a/src/ferrytray/relay/exchange_test.cpp
+++ b/src/ferrytray/relay/exchange_test.cpp
@@ -5,14 +5,14 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 using net::WireEnd;
-using support::ConfigurationOf;
-using support::EndpointOf;
+using support::MakeConfiguration;
+using support::MakeEndpoint;
 
 TEST_GROUP_BASE(Exchange, support::ExchangeFixture){};
 
 TEST(Exchange, ForwardsCompleteSignedReply)
 {
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   m_client.Head(200, { { "x", "y" } });
   m_client.Data("body");
   m_client.End(WireEnd::Complete);
@@ -23,7 +23,7 @@
 
 TEST(Exchange, NonIdempotentRequestIsSentOnceAndReportedUnknown)
 {
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   CHECK(m_client.m_calls[0].m_request.m_sendOnce);
   m_client.End(WireEnd::NoReply);
   LONGS_EQUAL(1, m_client.m_calls.size());
@@ -33,16 +33,16 @@
 
 TEST(Exchange, UnsentAttemptIsRetriedElsewhere)
 {
-  Ask("/once/x");
-  const std::string first = Sent("to");
+  SendRequest("/once/x");
+  const std::string first = SentHeader("to");
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(2, m_client.m_calls.size());
-  CHECK(first != Sent("to"));
+  CHECK(first != SentHeader("to"));
 }
 
 TEST(Exchange, RefusalOfUnexecutedRequestHasRetryAfter)
 {
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   m_client.Head(503, { { "not-run", "1" } });
   m_client.End(WireEnd::Complete);
   m_client.Head(503, { { "not-run", "1" } });
@@ -54,7 +54,7 @@
 
 TEST(Exchange, Endpoint503WithoutNotRunIsReportedUnknown)
 {
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   m_client.Head(503, {});
   m_client.End(WireEnd::Complete);
   LONGS_EQUAL(502, reply->m_status);
@@ -62,7 +62,7 @@
 
 TEST(Exchange, IdempotentFailureIsRetriedOnceThenForwarded)
 {
-  const auto reply = Ask("/again/x");
+  const auto reply = SendRequest("/again/x");
   m_client.Head(500, {});
   m_client.End(WireEnd::Complete);
   LONGS_EQUAL(2, m_client.m_calls.size());
@@ -75,7 +75,7 @@
 
 TEST(Exchange, ReplyToOtherRequestIsNotForwarded)
 {
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   m_client.Head(200, { { "id", "r0" } });
   m_client.Data("another's");
   m_client.End(WireEnd::Complete);
@@ -85,7 +85,7 @@
 
 TEST(Exchange, UnsignedSuccessIsNotForwarded)
 {
-  const auto reply = Ask("/stream/x");
+  const auto reply = SendRequest("/stream/x");
   m_client.Head(200, { { "unsigned", "" } });
   m_client.Data("id: 1\ndata: a\n\n");
   m_client.End(WireEnd::Complete);
@@ -95,7 +95,7 @@
 
 TEST(Exchange, TruncatedBodyIsNotForwarded)
 {
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   m_client.Head(200, {});
   m_client.Data("ha");
   m_client.End(WireEnd::BrokenReply);
@@ -104,12 +104,12 @@
 
 TEST(Exchange, ResumableStreamContinuesAfterLastCompleteEvent)
 {
-  const auto reply = Ask("/resume/x");
+  const auto reply = SendRequest("/resume/x");
   m_client.Head(200, { { "x", "first" } });
   m_client.Data("id: 1\ndata: a\n\nid: 2\nda");
   m_client.End(WireEnd::BrokenReply);
   LONGS_EQUAL(2, m_client.m_calls.size());
-  STRCMP_EQUAL("1", Sent("after").c_str());
+  STRCMP_EQUAL("1", SentHeader("after").c_str());
   m_client.Head(200, { { "x", "second" } });
   m_client.Data("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   m_client.End(WireEnd::Complete);
@@ -120,7 +120,7 @@
 
 TEST(Exchange, NonResumableStreamIsAborted)
 {
-  const auto reply = Ask("/stream/x");
+  const auto reply = SendRequest("/stream/x");
   m_client.Head(200, {});
   m_client.Data("id: 1\ndata: a\n\n");
   m_client.End(WireEnd::BrokenReply);
@@ -131,7 +131,7 @@
 
 TEST(Exchange, CallerDisconnectCancelsAttempt)
 {
-  const auto reply = Ask("/again/x");
+  const auto reply = SendRequest("/again/x");
   const auto onClosed = reply->m_onClosed;
   onClosed();
   CHECK(m_client.m_calls[0].m_cancelled);
@@ -141,38 +141,38 @@
 
 TEST(Exchange, UnknownKeyOrPathIsDeniedOnlyByFreshConfiguration)
 {
-  LONGS_EQUAL(401, Ask("/once/x", "wrong")->m_status);
-  LONGS_EQUAL(404, Ask("/none/x")->m_status);
+  LONGS_EQUAL(401, SendRequest("/once/x", "wrong")->m_status);
+  LONGS_EQUAL(404, SendRequest("/none/x")->m_status);
   m_core.m_operatorsReadAt = base::MonotonicNow() - 2s;
-  LONGS_EQUAL(503, Ask("/once/x", "wrong")->m_status);
-  LONGS_EQUAL(503, Ask("/none/x")->m_status);
+  LONGS_EQUAL(503, SendRequest("/once/x", "wrong")->m_status);
+  LONGS_EQUAL(503, SendRequest("/none/x")->m_status);
   m_core.m_configuration = nullptr;
-  LONGS_EQUAL(503, Ask("/once/x")->m_status);
+  LONGS_EQUAL(503, SendRequest("/once/x")->m_status);
   CHECK(m_client.m_calls.empty());
 }
 
 TEST(Exchange, SendsWeightVersionAndCacheScope)
 {
-  Ask("/resume/x", "k", "m");
-  STRCMP_EQUAL("1", Sent("weights").c_str());
-  STRCMP_EQUAL("m/1", Sent("scope").c_str());
+  SendRequest("/resume/x", "k", "m");
+  STRCMP_EQUAL("1", SentHeader("weights").c_str());
+  STRCMP_EQUAL("m/1", SentHeader("scope").c_str());
 }
 
 TEST(Exchange, WeightMismatchIsRetriedWithNewestVersion)
 {
   m_core.m_desiredWeights["m"] = 2;
-  Ask("/stream/x", "k", "m");
-  const std::string first = Sent("to");
+  SendRequest("/stream/x", "k", "m");
+  const std::string first = SentHeader("to");
   m_client.Head(421, { { "not-run", "1" }, { "misdirected", "1" } });
   m_client.End(WireEnd::Complete);
-  STRCMP_EQUAL(first.c_str(), Sent("to").c_str());
-  STRCMP_EQUAL("2", Sent("weights").c_str());
-  STRCMP_EQUAL("m/2", Sent("scope").c_str());
+  STRCMP_EQUAL(first.c_str(), SentHeader("to").c_str());
+  STRCMP_EQUAL("2", SentHeader("weights").c_str());
+  STRCMP_EQUAL("m/2", SentHeader("scope").c_str());
 }
 
 TEST(Exchange, WeightMismatchDoesNotSetDesiredWeights)
 {
-  Ask("/stream/x", "k", "m");
+  SendRequest("/stream/x", "k", "m");
   m_client.Head(421, { { "not-run", "1" }, { "misdirected", "1" } });
   m_client.End(WireEnd::Complete);
   CHECK(m_core.m_desiredWeights.empty()); // the rollout would order them
@@ -180,22 +180,22 @@
 
 TEST(Exchange, ReplacedIncarnationIsRemoved)
 {
-  Ask("/stream/x", "k", "m");
-  const std::string first = Sent("to");
+  SendRequest("/stream/x", "k", "m");
+  const std::string first = SentHeader("to");
   m_client.Head(421, { { "not-run", "1" }, { "misdirected", "1" }, { "incarnation", "z" } });
   m_client.End(WireEnd::Complete);
-  CHECK(first != Sent("to"));
+  CHECK(first != SentHeader("to"));
   POINTERS_EQUAL(nullptr, m_core.m_directory.Find(first));
 }
 
 TEST(Exchange, RepliesCloseConnectionsDuringShutdown)
 {
   m_core.m_stopping = true;
-  const auto reply = Ask("/once/x");
+  const auto reply = SendRequest("/once/x");
   m_client.Head(200, {});
   m_client.End(WireEnd::Complete);
-  CHECK(reply->m_closes);
-  CHECK(Ask("/none/x")->m_closes);
+  CHECK(reply->m_closesConnection);
+  CHECK(SendRequest("/none/x")->m_closesConnection);
 }
 
 TEST(Exchange, OutdatedEnginesAreExcludedAfterWeightsDeadline)
@@ -204,11 +204,11 @@
   m_core.m_directory.NoteProvenWeights("b", "m", 2);
   m_core.m_namedWeights.OnNamed("m", 2, now - 1h);
   for (int i = 0; i < 20; ++i) {
-    Ask("/stream/x", "k", "m");
+    SendRequest("/stream/x", "k", "m");
     STRCMP_EQUAL("b:1", m_client.m_calls.back().m_request.m_url.c_str());
   }
   m_core.m_namedWeights.OnNamed("m", 3, now - 1h);
-  const auto reply = Ask("/stream/x", "k", "m");
+  const auto reply = SendRequest("/stream/x", "k", "m");
   LONGS_EQUAL(503, reply->m_status);
 }
 
@@ -216,7 +216,7 @@
 {
   m_core.m_namedWeights.OnNamed("m", 2, base::MonotonicNow());
   const std::size_t before = m_client.m_calls.size();
-  Ask("/stream/x", "k", "m");
+  SendRequest("/stream/x", "k", "m");
   LONGS_EQUAL(before + 1, m_client.m_calls.size());
 }
 
@@ -248,8 +248,8 @@
   for (const char* closed : { "a", "b" }) {
     m_core.m_reloads = peers::ReloadTable();
     m_core.m_reloads.OnNotice({ peers::TagOf(closed), "m", 2, 1500, 1 }, base::MonotonicNow());
-    Ask("/stream/x", "k", "m");
-    CHECK(Sent("to") != closed);
+    SendRequest("/stream/x", "k", "m");
+    CHECK(SentHeader("to") != closed);
   }
 }
 
@@ -257,9 +257,9 @@
 {
   m_core.m_directory.MarkGone("b");
   m_core.m_reloads.OnNotice({ peers::TagOf("a"), "m", 2, 0, 1 }, base::MonotonicNow());
-  Ask("/stream/x", "k", "m");
-  STRCMP_EQUAL("a", Sent("to").c_str());
-  STRCMP_EQUAL("2", Sent("weights").c_str());
+  SendRequest("/stream/x", "k", "m");
+  STRCMP_EQUAL("a", SentHeader("to").c_str());
+  STRCMP_EQUAL("2", SentHeader("weights").c_str());
 }
 
 TEST(Exchange, PromptIsSentWhenAllEnginesReload)
@@ -267,7 +267,7 @@
   for (const char* engine : { "a", "b" }) {
     m_core.m_reloads.OnNotice({ peers::TagOf(engine), "m", 2, 1500, 1 }, base::MonotonicNow());
   }
-  Ask("/stream/x", "k", "m");
+  SendRequest("/stream/x", "k", "m");
   LONGS_EQUAL(1, m_client.m_calls.size());
 }
 
@@ -275,16 +275,16 @@
 {
   m_core.m_directory.MarkGone("b");
   m_core.m_reloads.OnNotice({ peers::TagOf("a"), "m", 2, 1500, 1 }, base::MonotonicNow());
-  Ask("/once/x");
-  STRCMP_EQUAL("a", Sent("to").c_str());
+  SendRequest("/once/x");
+  STRCMP_EQUAL("a", SentHeader("to").c_str());
 }
 
 TEST(Exchange, EndpointReplacementIsReported)
 {
   std::string reported;
   m_core.m_onEndpointReplaced = [&](const std::string& aIncarnation) { reported = aIncarnation; };
-  Ask("/once/x");
-  const std::string first = Sent("to");
+  SendRequest("/once/x");
+  const std::string first = SentHeader("to");
   m_client.Head(421, { { "misdirected", "" }, { "not-run", "" }, { "incarnation", "new" } });
   m_client.End(WireEnd::Complete);
   STRCMP_EQUAL(first.c_str(), reported.c_str());
--- a/src/ferrytray/relay/prompt_dispatcher_test.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher_test.cpp
@@ -10,7 +10,7 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 using net::WireEnd;
-using support::kLongPrompt;
+using support::kLongPromptTokens;
 
 /// A host that assigns prompts itself, or asks a host of higher capacity whose replies the test
 /// provides.
@@ -59,7 +59,8 @@
 
   peers::PlacementRequest PlacementRequestFor(const char* aKey)
   {
-    return { "h", "s", "m", "", aKey, kLongPrompt, kLongPrompt, kLongPrompt, {}, 0, 0 };
+    return { "h", "s", "m", "", aKey, kLongPromptTokens, kLongPromptTokens, kLongPromptTokens,
+             {},  0,   0 };
   }
 };
 
@@ -70,7 +71,7 @@
   std::size_t sent = 0;
   std::shared_ptr<support::FakeReply> last;
   for (int i = 0; i < 20; ++i) {
-    last = Ask("/stream/x", "k", "long");
+    last = SendRequest("/stream/x", "k", "long");
     sent = m_client.m_calls.size();
   }
   // Two engines of 70,000 tokens, filled to 0.8 each, and one more prompt.
@@ -100,11 +101,11 @@
 TEST(PromptDispatcher, SimultaneousPromptsGetDifferentEngines)
 {
   StartDispatcher(9);
-  Ask("/stream/x", "k", "long");
-  const std::string first = Sent("to");
-  Ask("/stream/x", "k", "long");
+  SendRequest("/stream/x", "k", "long");
+  const std::string first = SentHeader("to");
+  SendRequest("/stream/x", "k", "long");
   LONGS_EQUAL(2, m_client.m_calls.size());
-  CHECK(first != Sent("to"));
+  CHECK(first != SentHeader("to"));
 }
 
 TEST(PromptDispatcher, ReloadingEngineIsNotAssigned)
@@ -119,7 +120,7 @@
 TEST(PromptDispatcher, AssignsOnlyEnginesOfRequestedZone)
 {
   StartDispatcher(9);
-  fleet::Endpoint far = support::EndpointOf("c");
+  fleet::Endpoint far = support::MakeEndpoint("c");
   far.m_zone = "far";
   m_core.m_directory.Upsert(far, base::MonotonicNow());
   peers::PlacementRequest request = PlacementRequestFor("k");
@@ -137,45 +138,45 @@
 {
   StartDispatcher(1);
   for (const char* engine : { "a", "b" }) {
-    Ask("/stream/x", "k", "long");
+    SendRequest("/stream/x", "k", "long");
     STRCMP_EQUAL("http://10.0.0.1:7/placement", m_client.m_calls.back().m_request.m_url.c_str());
     m_client.Head(200, {});
     m_client.Data(peers::Encode(peers::PlacementReply{ engine, "", true, false }));
     m_client.End(WireEnd::Complete);
-    STRCMP_EQUAL(engine, Sent("to").c_str());
+    STRCMP_EQUAL(engine, SentHeader("to").c_str());
   }
 }
 
 TEST(PromptDispatcher, FallsBackToHomeAndBacksOffWithoutAssignment)
 {
   StartDispatcher(1);
-  Ask("/stream/x", "k", "long");
+  SendRequest("/stream/x", "k", "long");
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(2, m_client.m_calls.size());
-  CHECK_FALSE(Sent("to").empty());
-  Ask("/stream/x", "k", "long");
+  CHECK_FALSE(SentHeader("to").empty());
+  SendRequest("/stream/x", "k", "long");
   LONGS_EQUAL(3, m_client.m_calls.size());
-  CHECK_FALSE(Sent("to").empty());
+  CHECK_FALSE(SentHeader("to").empty());
 }
 
 TEST(PromptDispatcher, IgnoresAssignmentOfUnknownOrRefusingEngine)
 {
   StartDispatcher(1);
-  Ask("/stream/x", "k", "long");
+  SendRequest("/stream/x", "k", "long");
   m_client.Head(200, {});
   m_client.Data(peers::Encode(peers::PlacementReply{ "unknown", "unknown", false, false }));
   m_client.End(WireEnd::Complete);
-  const std::string first = Sent("to");
+  const std::string first = SentHeader("to");
   CHECK(first == "a" || first == "b");
   m_client.Head(503, { { "not-run", "1" } });
   m_client.End(WireEnd::Complete);
-  CHECK(first != Sent("to"));
+  CHECK(first != SentHeader("to"));
 }
 
 TEST(PromptDispatcher, CallerDisconnectDuringAssignmentSendsNothing)
 {
   StartDispatcher(1);
-  const auto reply = Ask("/stream/x", "k", "long");
+  const auto reply = SendRequest("/stream/x", "k", "long");
   reply->m_onClosed();
   m_client.End(WireEnd::NotSent);
   LONGS_EQUAL(1, m_client.m_calls.size());
@@ -184,8 +185,8 @@
 TEST(PromptDispatcher, ShortPromptsAndPlainRequestsNeedNoAssignment)
 {
   StartDispatcher(1);
-  Ask("/stream/x", "k", "m");
-  Ask("/once/x");
+  SendRequest("/stream/x", "k", "m");
+  SendRequest("/once/x");
   LONGS_EQUAL(2, m_client.m_calls.size());
-  CHECK_FALSE(Sent("to").empty());
+  CHECK_FALSE(SentHeader("to").empty());
 }
--- a/src/ferrytray/relay/state_feeds_test.cpp
+++ b/src/ferrytray/relay/state_feeds_test.cpp
@@ -29,7 +29,7 @@
   [[nodiscard]] base::Result<fleet::Configuration> ReadConfiguration(
     std::string_view) const override
   {
-    fleet::Configuration configuration = support::ConfigurationOf(2)->Get();
+    fleet::Configuration configuration = support::MakeConfiguration(2)->Get();
     configuration.m_services[0].m_cold = fleet::ColdTraits{ kColdFor, 14 };
     return configuration;
   }
@@ -48,7 +48,7 @@
     if (space == std::string_view::npos) {
       return base::Fail(base::ErrorCode::PlatformMalformed, "no entry");
     }
-    fleet::Endpoint endpoint = support::EndpointOf(std::string(aKey));
+    fleet::Endpoint endpoint = support::MakeEndpoint(std::string(aKey));
     endpoint.m_startTime = std::stoul(std::string(aValue.substr(0, space)));
     endpoint.m_incarnation = fleet::IncarnationOf(endpoint.m_id, endpoint.m_startTime);
     endpoint.m_zone = aValue.substr(space + 1);
@@ -203,12 +203,12 @@
   m_core.m_options.m_maxDenialAge = 100ms;
   relay::FeedOptions options;
   options.m_endpointPause = options.m_endpointServingPause = 5ms;
-  m_log.m_silentFor = "operators";
+  m_log.m_unansweredTopic = "operators";
   StartFeeds(options);
-  LONGS_EQUAL(404, Ask("/none/x")->m_status);
-  const std::size_t before = m_log.m_readsOf["endpoints"];
+  LONGS_EQUAL(404, SendRequest("/none/x")->m_status);
+  const std::size_t before = m_log.m_readsByTopic["endpoints"];
   m_loop.RunFor(300ms);
-  CHECK(m_log.m_readsOf["endpoints"] > before);
-  LONGS_EQUAL(503, Ask("/none/x")->m_status);
-  LONGS_EQUAL(503, Ask("/once/x", "wrong")->m_status);
+  CHECK(m_log.m_readsByTopic["endpoints"] > before);
+  LONGS_EQUAL(503, SendRequest("/none/x")->m_status);
+  LONGS_EQUAL(503, SendRequest("/once/x", "wrong")->m_status);
 }
--- a/src/ferrytray/store/topic_follower_test.cpp
+++ b/src/ferrytray/store/topic_follower_test.cpp
@@ -48,9 +48,9 @@
 
 TEST(TopicFollower, DeliversTheSnapshotThenEachRecordOnce)
 {
-  m_log.m_snapshots.push_back(store::Snapshot{ 5, { support::RecordOf(3, "a", "1") } });
+  m_log.m_snapshots.push_back(store::Snapshot{ 5, { support::MakeRecord(3, "a", "1") } });
   m_log.m_batches.push_back(
-    store::Batch{ 7, { support::RecordOf(5, "a", "2"), support::RecordOf(6, "a", "") } });
+    store::Batch{ 7, { support::MakeRecord(5, "a", "2"), support::MakeRecord(6, "a", "") } });
   Follow();
   STRCMP_EQUAL("a=1 snapshot1 a=2 a- ", m_events.c_str());
   LONGS_EQUAL(7, m_log.m_readFrom.back());
@@ -58,13 +58,13 @@
 
 TEST(TopicFollower, RereadsATruncatedTopicWithoutDeliveringOlderRecords)
 {
-  m_log.m_snapshots.push_back(store::Snapshot{ 5, { support::RecordOf(3, "a", "1") } });
-  m_log.m_batches.push_back(store::Batch{ 6, { support::RecordOf(5, "a", "2") } });
+  m_log.m_snapshots.push_back(store::Snapshot{ 5, { support::MakeRecord(3, "a", "1") } });
+  m_log.m_batches.push_back(store::Batch{ 6, { support::MakeRecord(5, "a", "2") } });
   store::Batch gone;
   gone.m_truncated = true;
   m_log.m_batches.push_back(gone);
   m_log.m_snapshots.push_back(
-    store::Snapshot{ 9, { support::RecordOf(3, "a", "1"), support::RecordOf(8, "b", "1") } });
+    store::Snapshot{ 9, { support::MakeRecord(3, "a", "1"), support::MakeRecord(8, "b", "1") } });
   Follow();
   STRCMP_EQUAL("a=1 snapshot1 a=2 b=1 snapshot2 ", m_events.c_str());
   LONGS_EQUAL(9, m_log.m_readFrom.back());
@@ -76,7 +76,7 @@
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "down"));
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "down"));
-  m_log.m_batches.push_back(store::Batch{ 6, { support::RecordOf(5, "a", "1") } });
+  m_log.m_batches.push_back(store::Batch{ 6, { support::MakeRecord(5, "a", "1") } });
   Follow();
   STRCMP_EQUAL("away back snapshot0 away back a=1 ", m_events.c_str());
 }
@@ -106,10 +106,10 @@
   m_options.m_wait = {};
   m_options.m_slowThreshold = 1ms;
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
-  m_log.m_hang = true;
-  m_log.m_onHung = [this] {
-    m_log.m_hang = false;
-    m_lateReplyTimer = m_loop.After(5ms, [this] { m_log.m_hung(store::Batch{ 5, {} }); });
+  m_log.m_holdReads = true;
+  m_log.m_onReadHeld = [this] {
+    m_log.m_holdReads = false;
+    m_lateReplyTimer = m_loop.After(5ms, [this] { m_log.m_heldRead(store::Batch{ 5, {} }); });
   };
   Follow();
   STRCMP_EQUAL("snapshot0 slow ", m_events.c_str());
@@ -118,13 +118,13 @@
 TEST(TopicFollower, DropsTheLateReplyOfARestartedRead)
 {
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
-  m_log.m_batches.push_back(store::Batch{ 6, { support::RecordOf(5, "a", "new") } });
-  m_log.m_hang = true;
-  m_log.m_onHung = [this] {
-    m_log.m_hang = false;
+  m_log.m_batches.push_back(store::Batch{ 6, { support::MakeRecord(5, "a", "new") } });
+  m_log.m_holdReads = true;
+  m_log.m_onReadHeld = [this] {
+    m_log.m_holdReads = false;
     m_loop.Post([this] {
       m_follower->RestartRead();
-      m_log.m_hung(store::Batch{ 6, { support::RecordOf(5, "a", "late") } });
+      m_log.m_heldRead(store::Batch{ 6, { support::MakeRecord(5, "a", "late") } });
     });
   };
   Follow();
@@ -138,9 +138,9 @@
 {
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "no answer"));
-  m_log.m_batches.push_back(store::Batch{ 6, { support::RecordOf(5, "a", "1") } });
+  m_log.m_batches.push_back(store::Batch{ 6, { support::MakeRecord(5, "a", "1") } });
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "no answer"));
-  m_log.m_batches.push_back(store::Batch{ 7, { support::RecordOf(6, "a", "2") } });
+  m_log.m_batches.push_back(store::Batch{ 7, { support::MakeRecord(6, "a", "2") } });
   Follow();
   STRCMP_EQUAL("snapshot0 a=1 a=2 ", m_events.c_str());
   LONGS_EQUAL(5, m_log.m_waits.size());
--- a/src/ferrytray/store/topic_update_test.cpp
+++ b/src/ferrytray/store/topic_update_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace ferrytray;
 using namespace std::chrono_literals;
-using support::RecordOf;
+using support::MakeRecord;
 
 namespace {
 
@@ -31,9 +31,9 @@
 
   void setup() override
   {
-    m_log.m_snapshots.push_back(store::Snapshot{ 5, { RecordOf(3, "a", "1") } });
-    m_log.m_hang = true; // the log answers no reads of this host
-    m_log.m_onHung = [] {};
+    m_log.m_snapshots.push_back(store::Snapshot{ 5, { MakeRecord(3, "a", "1") } });
+    m_log.m_holdReads = true; // the log answers no reads of this host
+    m_log.m_onReadHeld = [] {};
     store::FollowOptions options;
     options.m_topic = "t";
     options.m_pause = 1h;
@@ -64,8 +64,8 @@
 
 TEST(TopicUpdate, RelayedRecordsAreDeliveredOnceWithoutReadingTheLog)
 {
-  Receive(MakeUpdate(7, { RecordOf(5, "a", "2"), RecordOf(6, "b", "1") }));
-  Receive(MakeUpdate(8, { RecordOf(6, "b", "1"), RecordOf(7, "c", "1") }));
+  Receive(MakeUpdate(7, { MakeRecord(5, "a", "2"), MakeRecord(6, "b", "1") }));
+  Receive(MakeUpdate(8, { MakeRecord(6, "b", "1"), MakeRecord(7, "c", "1") }));
   STRCMP_EQUAL("a=2 b=1 c=1 ", m_events.c_str());
   LONGS_EQUAL(8, m_follower->Cursor().m_next);
   m_loop.RunFor(20ms);
@@ -74,7 +74,7 @@
 
 TEST(TopicUpdate, ReadsTheLogWhenUpdatesStop)
 {
-  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
+  Receive(MakeUpdate(6, { MakeRecord(5, "a", "2") }));
   for (int i = 0; i < 1000 && m_log.m_readFrom.empty(); ++i) {
     m_loop.RunFor(1ms);
   }
@@ -83,7 +83,7 @@
 
 TEST(TopicUpdate, ReadsTheLogIfTheOtherHostIsUnavailable)
 {
-  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
+  Receive(MakeUpdate(6, { MakeRecord(5, "a", "2") }));
   store::TopicUpdate unavailable = MakeUpdate(6);
   unavailable.m_unavailable = true;
   Receive(unavailable);
@@ -92,10 +92,10 @@
 
 TEST(TopicUpdate, IgnoresOldUpdatesAndUpdatesWithAGap)
 {
-  store::TopicUpdate old = MakeUpdate(6, { RecordOf(5, "a", "2") });
+  store::TopicUpdate old = MakeUpdate(6, { MakeRecord(5, "a", "2") });
   old.m_age = 200ms;
   Receive(old);
-  store::TopicUpdate gap = MakeUpdate(9, { RecordOf(8, "a", "3") });
+  store::TopicUpdate gap = MakeUpdate(9, { MakeRecord(8, "a", "3") });
   gap.m_from = 8; // the records before that are missing
   Receive(gap);
   STRCMP_EQUAL("", m_events.c_str());
@@ -125,7 +125,7 @@
 
 TEST(TopicUpdate, RelayedRecordsAreRelayedAgain)
 {
-  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
+  Receive(MakeUpdate(6, { MakeRecord(5, "a", "2") }));
   const auto update = m_follower->UpdateSince({ "t", 5 }, base::MonotonicNow());
   CHECK(update.has_value() && !update->m_unavailable);
   LONGS_EQUAL(1, update->m_records.size());
@@ -162,12 +162,12 @@
   CHECK(tail.Since(10)->empty());
   CHECK_FALSE(tail.Since(9).has_value());
   for (store::Offset offset = 10; offset < 15; ++offset) {
-    tail.Add(RecordOf(offset, "k", "v"));
+    tail.Add(MakeRecord(offset, "k", "v"));
   }
   LONGS_EQUAL(3, tail.Since(12)->size());
   LONGS_EQUAL(1, tail.Since(14)->size());
   CHECK_FALSE(tail.Since(11).has_value());
-  tail.Add(RecordOf(15, "k", std::string(100, 'v')));
+  tail.Add(MakeRecord(15, "k", std::string(100, 'v')));
   CHECK_FALSE(tail.Since(15).has_value()); // too large to be relayed
   // A host that cannot reach the log gets it anyway.
   LONGS_EQUAL(1, tail.Since(15, store::RelayLimit::Unbounded)->size());
@@ -175,8 +175,8 @@
 
 TEST(TopicUpdate, UpdatesAreUnavailableWhileOwnReadsFail)
 {
-  Receive(MakeUpdate(6, { RecordOf(5, "a", "2") }));
-  m_log.m_hang = false;
+  Receive(MakeUpdate(6, { MakeRecord(5, "a", "2") }));
+  m_log.m_holdReads = false;
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "down"));
   m_log.m_batches.push_back(store::Batch{ 6, {} });
   CHECK_FALSE(m_follower->UpdateSince({ "t", 6 }, base::MonotonicNow())->m_unavailable);
@@ -188,8 +188,8 @@
 
 TEST(TopicUpdate, RecordsWithoutNewContentAreNotRelayed)
 {
-  Receive(
-    MakeUpdate(9, { RecordOf(5, "a", "2"), RecordOf(6, "a", "same"), RecordOf(7, "b", "1") }));
+  Receive(MakeUpdate(
+    9, { MakeRecord(5, "a", "2"), MakeRecord(6, "a", "same"), MakeRecord(7, "b", "1") }));
   const auto update = m_follower->UpdateSince({ "t", 5, false }, base::MonotonicNow());
   LONGS_EQUAL(2, update->m_records.size());
   STRCMP_EQUAL("b", update->m_records[1].m_key.c_str());
@@ -206,7 +206,7 @@
   constexpr store::Offset kHeartbeats = 5'000;
   std::vector<store::Record> records;
   for (store::Offset offset = 5; offset < 5 + kHeartbeats; ++offset) {
-    records.push_back(RecordOf(offset, "a", offset % 100 == 0 ? "new" : "same"));
+    records.push_back(MakeRecord(offset, "a", offset % 100 == 0 ? "new" : "same"));
   }
   Receive(MakeUpdate(5 + kHeartbeats, std::move(records)));
   const auto update = m_follower->UpdateSince({ "t", 5, false }, base::MonotonicNow());
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -16,8 +16,8 @@
 using namespace std::chrono_literals;
 
 // Engines of 70,000 tokens, of which a long prompt takes a sixth.
-inline constexpr std::uint64_t kEngineMemory = 70'000;
-inline constexpr std::uint32_t kLongPrompt = 12'000;
+inline constexpr std::uint64_t kEngineMemoryTokens = 70'000;
+inline constexpr std::uint32_t kLongPromptTokens = 12'000;
 
 /// Plain names; the platform's own are tested beside its adapter.
 class FakeFormat final : public relay::WireFormat
@@ -38,7 +38,8 @@
       request.m_prompt = relay::Prompt{ "m", 10, 10, { { "p", 10 } } };
     }
     if (aRequest.Header("model") == "long") {
-      request.m_prompt = relay::Prompt{ "m", kLongPrompt, 10, { { "p", kLongPrompt } } };
+      request.m_prompt =
+        relay::Prompt{ "m", kLongPromptTokens, 10, { { "p", kLongPromptTokens } } };
     }
     return request;
   }
@@ -82,7 +83,7 @@
   }
 };
 
-inline fleet::Endpoint EndpointOf(const std::string& aName)
+inline fleet::Endpoint MakeEndpoint(const std::string& aName)
 {
   fleet::Endpoint endpoint;
   endpoint.m_id = aName;
@@ -93,7 +94,7 @@
   return endpoint;
 }
 
-inline fleet::Route RouteOf(const std::string& aPrefix, bool aStreaming, bool aRepeatable)
+inline fleet::Route MakeRoute(const std::string& aPrefix, bool aStreaming, bool aRepeatable)
 {
   fleet::Route route;
   route.m_name = aPrefix;
@@ -108,17 +109,17 @@
   return route;
 }
 
-inline fleet::ConfigurationPtr ConfigurationOf(std::uint64_t aVersion)
+inline fleet::ConfigurationPtr MakeConfiguration(std::uint64_t aVersion)
 {
   fleet::Configuration configuration;
   configuration.m_version = aVersion;
-  configuration.m_routes = { RouteOf("/once/", false, false),
-                             RouteOf("/again/", false, true),
-                             RouteOf("/stream/", true, false),
-                             RouteOf("/resume/", true, true) };
+  configuration.m_routes = { MakeRoute("/once/", false, false),
+                             MakeRoute("/again/", false, true),
+                             MakeRoute("/stream/", true, false),
+                             MakeRoute("/resume/", true, true) };
   fleet::Service service;
   service.m_name = "s";
-  service.m_engine = fleet::EngineTraits{ 64, kEngineMemory, 18'432, { "m" } };
+  service.m_engine = fleet::EngineTraits{ 64, kEngineMemoryTokens, 18'432, { "m" } };
   configuration.m_services = { service };
   configuration.m_accounts = { { "lab", { "k" }, false, {} } };
   return std::make_shared<fleet::ConfigurationIndex>(std::move(configuration));
@@ -136,21 +137,21 @@
   void setup() override
   {
     const base::TimePoint now = base::MonotonicNow();
-    m_core.m_configuration = ConfigurationOf(1);
+    m_core.m_configuration = MakeConfiguration(1);
     m_core.m_lastContact = now;
     m_core.m_operatorsReadAt = now;
     m_core.m_crashesLoaded = true;
-    m_core.m_directory.Upsert(EndpointOf("a"), now);
-    m_core.m_directory.Upsert(EndpointOf("b"), now);
+    m_core.m_directory.Upsert(MakeEndpoint("a"), now);
+    m_core.m_directory.Upsert(MakeEndpoint("b"), now);
     for (int i = 0; i < 100; ++i) {
       m_core.m_retryWindow.OnFirstSend("s", now);
     }
   }
 
-  std::shared_ptr<FakeReply> Ask(const std::string& aPath,
-                                 const std::string& aKey = "k",
-                                 const std::string& aModel = "",
-                                 const std::string& aBody = "")
+  std::shared_ptr<FakeReply> SendRequest(const std::string& aPath,
+                                         const std::string& aKey = "k",
+                                         const std::string& aModel = "",
+                                         const std::string& aBody = "")
   {
     net::HttpRequest request;
     request.m_body = aBody;
@@ -161,7 +162,7 @@
     return reply;
   }
 
-  std::string Sent(const char* aHeader) const
+  std::string SentHeader(const char* aHeader) const
   {
     for (const auto& [name, value] : m_client.m_calls.back().m_request.m_headers) {
       if (name == aHeader) {
--- a/tests/support/fake_http.hpp
+++ b/tests/support/fake_http.hpp
@@ -77,7 +77,7 @@
   void Write(std::string aPiece) override { m_body += aPiece; }
   void Finish() override { m_finished = true; }
   void Abort() override { m_aborted = true; }
-  void CloseAfter() override { m_closes = true; }
+  void CloseAfter() override { m_closesConnection = true; }
   [[nodiscard]] std::size_t PendingBytes() const override { return 0; }
   void OnClosed(std::function<void()> aCall) override { m_onClosed = std::move(aCall); }
 
@@ -96,7 +96,7 @@
   std::string m_body;
   bool m_finished = false;
   bool m_aborted = false;
-  bool m_closes = false;
+  bool m_closesConnection = false;
   std::function<void()> m_onClosed;
 };
 
--- a/tests/support/fake_record_log.hpp
+++ b/tests/support/fake_record_log.hpp
@@ -32,9 +32,9 @@
   {
     m_readFrom.push_back(aFrom);
     m_waits.push_back(aWait);
-    if (m_hang) {
-      m_hung = std::move(aDone);
-      m_onHung();
+    if (m_holdReads) {
+      m_heldRead = std::move(aDone);
+      m_onReadHeld();
       return;
     }
     Answer(m_batches, aDone);
@@ -56,9 +56,9 @@
   std::deque<ferrytray::base::Result<ferrytray::store::Batch>> m_batches;
   std::vector<ferrytray::store::Offset> m_readFrom;
   std::vector<ferrytray::base::Duration> m_waits;
-  bool m_hang = false; ///< the next reads are not answered
-  ferrytray::store::Done<ferrytray::store::Batch> m_hung;
-  std::function<void()> m_onHung;
+  bool m_holdReads = false; ///< the next reads are not answered
+  ferrytray::store::Done<ferrytray::store::Batch> m_heldRead;
+  std::function<void()> m_onReadHeld;
 
 private:
   template<typename T>
@@ -77,9 +77,9 @@
   ferrytray::net::Loop& m_loop;
 };
 
-inline ferrytray::store::Record RecordOf(ferrytray::store::Offset aOffset,
-                                         const std::string& aKey,
-                                         const std::string& aValue)
+inline ferrytray::store::Record MakeRecord(ferrytray::store::Offset aOffset,
+                                           const std::string& aKey,
+                                           const std::string& aValue)
 {
   return { aOffset, aKey, aValue, aValue.empty() };
 }
--- a/tests/support/memory_record_log.hpp
+++ b/tests/support/memory_record_log.hpp
@@ -18,8 +18,8 @@
                     ferrytray::store::Done<ferrytray::store::Snapshot> aDone) override
   {
     ++m_reads;
-    ++m_readsOf[aTopic];
-    ++m_snapshotsOf[aTopic];
+    ++m_readsByTopic[aTopic];
+    ++m_snapshotReadsByTopic[aTopic];
     if (m_down) {
       aDone(Down());
       return;
@@ -43,8 +43,8 @@
             ferrytray::store::Done<ferrytray::store::Batch> aDone) override
   {
     ++m_reads;
-    ++m_readsOf[aTopic];
-    if (aTopic == m_silentFor) {
+    ++m_readsByTopic[aTopic];
+    if (aTopic == m_unansweredTopic) {
       return;
     }
     if (m_down) {
@@ -83,10 +83,10 @@
   }
 
   bool m_down = false;
-  std::string m_silentFor; ///< reads of this topic, but for snapshots, are never answered
+  std::string m_unansweredTopic; ///< reads of this topic, but for snapshots, are never answered
   std::size_t m_reads = 0;
-  std::map<std::string, std::size_t> m_readsOf; ///< by topic, snapshots included
-  std::map<std::string, std::size_t> m_snapshotsOf;
+  std::map<std::string, std::size_t> m_readsByTopic; ///< by topic, snapshots included
+  std::map<std::string, std::size_t> m_snapshotReadsByTopic;
   std::map<std::string, Topic> m_topics;
 
 private:
--- a/tests/support/news_fixture.hpp
+++ b/tests/support/news_fixture.hpp
@@ -20,26 +20,26 @@
 inline const std::string kStore = "s:1";
 
 /// One host's side of the exchange, with its own view of the log.
-struct NewsHost
+struct PeerHost
 {
-  NewsHost(net::Loop& aLoop,
+  PeerHost(net::Loop& aLoop,
            net::HttpClient& aClient,
            const std::string& aName,
            std::uint32_t aCapacity,
            const std::string& aZone = "z",
            std::size_t aReaders = 1)
-    : m_news(aLoop,
-             aClient,
-             m_log,
-             m_stores,
-             m_others,
-             m_reloads,
-             m_crashes,
-             OptionsOf(aName, aCapacity, aZone, aReaders))
+    : m_exchange(aLoop,
+                 aClient,
+                 m_log,
+                 m_stores,
+                 m_peerLoads,
+                 m_reloads,
+                 m_crashes,
+                 OptionsOf(aName, aCapacity, aZone, aReaders))
   {
     m_stores.try_emplace(kStore, cache::StoreTraits{ 10'000 });
-    m_news.OnReaderChange([this](bool aDirect) { m_direct = aDirect; });
-    m_news.SetOwnLoadsProvider([this] { return m_own; });
+    m_exchange.OnReaderChange([this](bool aDirect) { m_isReader = aDirect; });
+    m_exchange.SetOwnLoadsProvider([this] { return m_localLoads; });
   }
 
   static peers::PeerExchangeOptions OptionsOf(const std::string& aName,
@@ -66,27 +66,27 @@
 
   support::MemoryRecordLog m_log;
   cache::Stores m_stores;
-  peers::LoadTable m_others;
+  peers::LoadTable m_peerLoads;
   peers::ReloadTable m_reloads;
   quarantine::CrashTracker m_crashes;
-  peers::EndpointLoads m_own;
-  bool m_direct = false;
-  peers::PeerExchange m_news;
+  peers::EndpointLoads m_localLoads;
+  bool m_isReader = false;
+  peers::PeerExchange m_exchange;
 };
 
 /// Two hosts that exchange news: one that reads the topics and one that follows it.
-struct NewsFixture : public Utest
+struct PeerExchangeFixture : public Utest
 {
   net::Loop m_loop;
   std::unique_ptr<net::HttpClient> m_client = net::HttpClient::Create(m_loop);
-  std::unique_ptr<NewsHost> m_reader = std::make_unique<NewsHost>(m_loop, *m_client, "reader", 9);
-  std::unique_ptr<NewsHost> m_follower =
-    std::make_unique<NewsHost>(m_loop, *m_client, "follower", 1);
+  std::unique_ptr<PeerHost> m_reader = std::make_unique<PeerHost>(m_loop, *m_client, "reader", 9);
+  std::unique_ptr<PeerHost> m_follower =
+    std::make_unique<PeerHost>(m_loop, *m_client, "follower", 1);
 
   void setup() override
   {
-    CHECK(m_reader->m_news.Start().has_value());
-    CHECK(m_follower->m_news.Start().has_value());
+    CHECK(m_reader->m_exchange.Start().has_value());
+    CHECK(m_follower->m_exchange.Start().has_value());
     // Both write to one log; the fakes are shared by hand.
     auto& one = m_reader->m_log.m_topics["hosts"];
     auto& other = m_follower->m_log.m_topics["hosts"];
@@ -98,13 +98,13 @@
   {
     for (const auto* host : { &m_reader, &m_follower }) {
       if (*host) {
-        (*host)->m_news.Stop();
+        (*host)->m_exchange.Stop();
       }
     }
     m_client.reset();
   }
 
-  bool Until(const std::function<bool()>& aCondition)
+  bool RunUntil(const std::function<bool()>& aCondition)
   {
     for (int i = 0; i < 6000 && !aCondition(); ++i) {
       m_loop.RunFor(5ms);
@@ -112,47 +112,47 @@
     return aCondition();
   }
 
-  std::shared_ptr<store::TopicFollower> FollowWith(peers::PeerExchange& aNews,
-                                                   store::RecordLog& aLog,
-                                                   std::string& aTold,
-                                                   const char* aTopic = "t")
+  std::shared_ptr<store::TopicFollower> AddFollowerTo(peers::PeerExchange& aExchange,
+                                                      store::RecordLog& aLog,
+                                                      std::string& aReceivedKeys,
+                                                      const char* aTopic = "t")
   {
     store::FollowOptions options;
     options.m_topic = aTopic;
     options.m_pause = 5ms;
     options.m_maxUpdateAge = 20s;
     store::FollowEvents events;
-    events.m_onRecord = [&aTold](const store::Record& aRecord) {
-      aTold += aRecord.m_key;
+    events.m_onRecord = [&aReceivedKeys](const store::Record& aRecord) {
+      aReceivedKeys += aRecord.m_key;
       return true;
     };
     auto topic = std::make_shared<store::TopicFollower>(m_loop, aLog, options, std::move(events));
-    aNews.AddTopic(topic);
+    aExchange.AddTopic(topic);
     return topic;
   }
-  std::shared_ptr<store::TopicFollower> Follow(NewsHost& aHost, std::string& aTold)
+  std::shared_ptr<store::TopicFollower> AddFollower(PeerHost& aHost, std::string& aReceivedKeys)
   {
-    return FollowWith(aHost.m_news, aHost.m_log, aTold);
+    return AddFollowerTo(aHost.m_exchange, aHost.m_log, aReceivedKeys);
   }
 
   /// Asks the reader as another host would.
-  peers::SyncReply AskReader(peers::SyncRequest aQuestion)
+  peers::SyncReply SendToReader(peers::SyncRequest aRequest)
   {
     const auto reader = peers::DecodePeer(m_reader->m_log.m_topics["hosts"].front().m_value);
-    aQuestion.m_sender = { "asker", "z", "127.0.0.1:1", 1 };
+    aRequest.m_sender = { "asker", "z", "127.0.0.1:1", 1 };
     net::ClientRequest request;
     request.m_method = "POST";
     request.m_url = "http://" + reader->m_address + "/news";
-    request.m_body = peers::Encode(aQuestion);
+    request.m_body = peers::Encode(aRequest);
     std::optional<peers::SyncReply> reply;
     m_client->Fetch(std::move(request), [&](const net::ClientOutcome&, const std::string& aBody) {
       reply = peers::DecodeSyncReply(aBody).value_or(peers::SyncReply{});
     });
-    CHECK(Until([&] { return reply.has_value(); }));
+    CHECK(RunUntil([&] { return reply.has_value(); }));
     return reply.value_or(peers::SyncReply{});
   }
 
-  void ReaderHears(std::uint64_t aEpoch, bool aAdded)
+  void UpdateReaderStore(std::uint64_t aEpoch, bool aAdded)
   {
     cache::StoreEvents news;
     news.m_epoch = aEpoch;
