--- a/tools/cli.hpp
+++ b/tools/cli.hpp
@@ -10,7 +10,7 @@
 
 namespace ferrytray::cli {
 
-/// One command's answer: the exit code of the program.
+/// A command's process exit code.
 using ExitCode = int;
 
 ExitCode Validate(const settings::Settings& aSettings, const std::vector<std::string>& aFiles);
@@ -18,27 +18,29 @@
 ExitCode Apply(const settings::Settings& aSettings, const std::vector<std::string>& aFiles);
 ExitCode Status(const settings::Settings& aSettings);
 ExitCode Explain(const settings::Settings& aSettings, const std::string& aRequest);
-/// Reads the platform hosts' logs ("-": standard input) instead of asking a gate.
+/// Explains a request from log files of the hosts ("-": standard input), without querying a gate.
 ExitCode ExplainFromLogs(const std::string& aRequest, const std::vector<std::string>& aLogs);
 ExitCode SummarizeLogs(const std::vector<std::string>& aLogs);
 ExitCode Drain(const settings::Settings& aSettings, const std::string& aEndpoint);
 
-/// A file read and checked by itself; problems are printed.
+/// A configuration file that was parsed and validated on its own, without the other scopes.
 struct LoadedFile
 {
   std::string m_name;
   std::string m_text;
   config::Document m_document;
 };
+/// Loads the files and prints the problems of those that are unreadable or invalid.
 std::vector<LoadedFile> LoadFiles(const std::vector<std::string>& aFiles, bool& aOk);
 void PrintProblems(const config::Problems& aProblems);
 
-/// One HTTP call, waited for.
+/// The outcome and body of an HTTP call.
 struct HttpResult
 {
   net::ClientOutcome m_outcome;
   std::string m_body;
 };
+/// Sends an HTTP request and blocks until it has ended.
 HttpResult SendAndWait(net::ClientRequest aRequest);
 
 } // namespace ferrytray::cli
--- a/tools/cli_apply.cpp
+++ b/tools/cli_apply.cpp
@@ -19,10 +19,10 @@
 
 constexpr const char* kConfigStream = "config";
 constexpr base::Duration kPollInterval = std::chrono::milliseconds(100);
-/// The log answers in milliseconds; a slow one is waited for.
+/// The log usually answers within milliseconds; the timeout allows for a slow one.
 constexpr base::Duration kReadTimeout = std::chrono::seconds(3);
 
-/// The configuration stream as it stands now.
+/// The configuration stream's records and the state that replaying them gives.
 struct StreamState
 {
   replay::ConfigReplay m_replay;
@@ -101,7 +101,7 @@
   return documents;
 }
 
-/// Finds one's own record in the stream, whatever became of the reply to its append.
+/// Finds an appended record by its id, which works even if the reply to the append was lost.
 std::optional<std::pair<std::uint64_t, replay::ReplayOutcome>> FindById(const StreamState& aState,
                                                                         const std::string& aId)
 {
@@ -114,7 +114,7 @@
   return std::nullopt;
 }
 
-/// How many hosts have an offset in force, and who has not.
+/// How many alive hosts have applied an offset, and the names of those that have not.
 struct RolloutProgress
 {
   std::size_t m_hostsInForce = 0;
@@ -191,7 +191,7 @@
   if (!own) {
     const base::Failure unknown{
       base::ErrorCode::PlatformUnavailable,
-      "the log did not confirm the file; it may come into force later; look at status",
+      "the log did not confirm the file; it may still come into force; check 'status'",
       {},
       {}
     };
--- a/tools/cli_main.cpp
+++ b/tools/cli_main.cpp
@@ -20,7 +20,7 @@
   std::vector<LoadedFile> loaded;
   aOk = !aFiles.empty();
   if (aFiles.empty()) {
-    std::cerr << "error: name one or more files\n";
+    std::cerr << "error: no file given; pass one or more files\n";
   }
   for (const std::string& name : aFiles) {
     std::ifstream file(name, std::ios::binary);
@@ -81,7 +81,7 @@
 {
   std::vector<std::string> arguments = aSettings.Arguments();
   if (arguments.empty()) {
-    std::cerr << "error: name a command; see --help\n";
+    std::cerr << "error: no command given; see --help\n";
     return settings::kExitBadSettings;
   }
   const std::string command = arguments.front();
@@ -110,7 +110,8 @@
   if (command == "drain" && arguments.size() == 1) {
     return Drain(aSettings, arguments.front());
   }
-  std::cerr << "error: unknown command or wrong number of words: '" << command << "'; see --help\n";
+  std::cerr << "error: unknown command or wrong number of arguments: '" << command
+            << "'; see --help\n";
   return settings::kExitBadSettings;
 }
 
--- a/tools/cli_status.cpp
+++ b/tools/cli_status.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-/// Calls and prints; a failure is told on standard error.
+/// Sends a request and stores the reply's body. Any status but 200 is reported on standard error.
 bool Fetch(const std::string& aMethod, const std::string& aUrl, std::string& aBody)
 {
   net::ClientRequest request;
--- a/tools/cli_story.cpp
+++ b/tools/cli_story.cpp
@@ -1,5 +1,5 @@
-// explain REQUEST LOG... and summarize LOG...: one request's story, or a day's tables, out of
-// log files, without any running program.
+// Implements `explain REQUEST LOG...` and `summarize LOG...`, which read log files only and need no
+// running gate or keeper.
 #include <algorithm> // for min
 #include <fstream>   // for ifstream
 #include <iostream>  // for cin, cout, cerr
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A collector that merges logs writes the host's name before each line.
+/// The name of a line's source. A collector that merges logs prefixes each line with a host name.
 std::string LogSource(const std::string& aName, const std::string& aLine)
 {
   const std::string prefix = aLine.substr(0, std::min(aLine.find("event="), aLine.size()));
@@ -25,8 +25,8 @@
   return prefix.substr(begin, end + 1 - begin) + " in " + aName;
 }
 
-/// Calls with each line and the log that it is from; "-" is standard input.
-/// @return false if one cannot be read, which is told
+/// Calls aOnLine with the source and text of every line; "-" is standard input.
+/// @return false, after printing an error, if a log cannot be read
 template<typename OnLine>
 bool ForEachLine(const std::vector<std::string>& aLogs, const OnLine& aOnLine)
 {
--- a/tools/daemon_settings.hpp
+++ b/tools/daemon_settings.hpp
@@ -11,10 +11,11 @@
 #include "ferrytray/settings/settings.hpp"  // for Settings
 #include "ferrytray/telemetry/log_line.hpp" // for StartLogging
 
-/// What both daemons read from their settings alike.
+/// Settings and the main function that the gate and the keeper share.
 namespace ferrytray::daemon {
 
-/// Microseconds since the epoch at this start; higher than at any start before.
+/// The incarnation number: wall-clock microseconds since the epoch, so that it grows with each
+/// start.
 inline std::uint64_t NewIncarnation()
 {
   const auto start = std::chrono::system_clock::now().time_since_epoch();
@@ -22,7 +23,7 @@
   return static_cast<std::uint64_t>(micros);
 }
 
-/// Reads every IP:PORT setting, and checks the host's name.
+/// Parses every IP:PORT setting and validates the host name.
 inline base::Result<void> ReadAddresses(
   const settings::Settings& aSettings,
   std::initializer_list<std::pair<const char*, net::Address*>> aTargets)
@@ -42,18 +43,18 @@
   return {};
 }
 
-/// Prints why the daemon cannot run. @return the exit code given
+/// Prints why the daemon cannot start. @return aExitCode
 inline int ReportFailure(const base::Failure& aFailure, int aExitCode)
 {
   std::cerr << "error " << static_cast<int>(aFailure.m_code) << ": " << aFailure.m_message << "\n";
   return aExitCode;
 }
 
-/// Runs a daemon until it was told to end and has left.
-/// @param aOptions a Result of what aCreate takes
-/// @param aCreate builds the daemon on a loop
-/// @param aPrintAddresses prints its addresses
-/// @param aShutdown begins its planned stop and calls back when it may end
+/// Runs a daemon until a termination signal arrives and its graceful shutdown is complete.
+/// @param aOptions the options for aCreate, or why they are invalid
+/// @param aCreate creates the daemon on a loop
+/// @param aPrintAddresses prints the addresses that the daemon listens on
+/// @param aShutdown starts the graceful shutdown and calls back when the process may exit
 template<typename Options, typename Create, typename PrintAddresses, typename Shutdown>
 int Run(const char* aProgram,
         const Options& aOptions,
--- a/tools/gate_main.cpp
+++ b/tools/gate_main.cpp
@@ -19,19 +19,22 @@
     .Add({ "keeper", "", "IP:PORT of this host's keeper (TCP)", SettingKind::Text, true })
     .Add({ "listen", "127.0.0.1:8080", "IP:PORT for callers (HTTP)" })
     .Add({ "gate-control", "127.0.0.1:0", "IP:PORT for ticket tables from peers (TCP)" })
-    .Add({ "max-body-bytes", "8388608", "longer bodies are refused", SettingKind::Count })
+    .Add({ "max-body-bytes", "8388608", "longer request bodies are rejected", SettingKind::Count })
     .Add(
       { "hold-above", "300", "engine queue at which requests are held here", SettingKind::Millis })
-    .Add({ "default-deadline",
-           "300000",
-           "deadline of a request that names none",
+    .Add({ "default-deadline", "300000", "deadline of a request without one", SettingKind::Millis })
+    .Add({ "drain-wait",
+           "2000",
+           "time for the load balancer to notice a shutdown",
            SettingKind::Millis })
-    .Add({ "drain-wait", "2000", "for the balancer to notice a stop", SettingKind::Millis })
-    .Add({ "claim-timeout", "2000", "for the log to settle a caller's key", SettingKind::Millis })
-    .Add({ "config-due", "3000", "a change is in force within so long", SettingKind::Millis })
+    .Add({ "claim-timeout",
+           "2000",
+           "how long the log may take to resolve a caller's key",
+           SettingKind::Millis })
+    .Add({ "config-due", "3000", "time within which a change is in force", SettingKind::Millis })
     .Add({ "claim-window",
            "3600000",
-           "how long a caller's key is held; the log must keep longer",
+           "how long a caller's key is held; must be below the log's retention",
            SettingKind::Millis })
     .Build(aArgc, aArgv);
 }
--- a/tools/keeper_main.cpp
+++ b/tools/keeper_main.cpp
@@ -20,16 +20,16 @@
     .Add({ "listen", "127.0.0.1:8081", "IP:PORT for status and metrics (HTTP)" })
     .Add({ "keeper-control", "127.0.0.1:8082", "IP:PORT for the gate and for peers (TCP)" })
     .Add({ "gossip", "127.0.0.1:8083", "IP:PORT for other keepers (UDP)" })
-    .Add({ "seeds", "", "IP:PORT,... of peers' gossip, for a start while the platform is away" })
-    .Add({ "round", "500", "period of membership rounds", SettingKind::Millis })
-    .Add({ "load-poll", "200", "period of load reports", SettingKind::Millis })
-    .Add({ "host-list-poll", "500", "period of the host list", SettingKind::Millis })
+    .Add({ "seeds", "", "IP:PORT,... of peers' gossip, for a start during a platform outage" })
+    .Add({ "round", "500", "interval of membership rounds", SettingKind::Millis })
+    .Add({ "load-poll", "200", "interval of load polls", SettingKind::Millis })
+    .Add({ "host-list-poll", "500", "interval of host list polls", SettingKind::Millis })
     .Add({ "renew-age",
            "43200000",
-           "age at which a file is appended again, under the log's retention",
+           "age at which a file is appended again; must be below the log's retention",
            SettingKind::Millis })
     .Add({ "lease", "9000", "duration of a lease", SettingKind::Millis })
-    .Add({ "config-due", "3000", "a change is in force within so long", SettingKind::Millis })
+    .Add({ "config-due", "3000", "time within which a change is in force", SettingKind::Millis })
     .Build(aArgc, aArgv);
 }
 
--- a/tools/load.hpp
+++ b/tools/load.hpp
@@ -11,13 +11,14 @@
 
 namespace ferrytray::load {
 
+/// An experiment and its name on the command line.
 struct Command
 {
   std::string m_name;
   std::function<int(const settings::Settings&)> m_run;
 };
 
-/// Every experiment by name.
+/// All experiments, by the name given on the command line.
 const std::vector<Command>& Commands();
 
 int Sweep(const settings::Settings& aSettings);
@@ -29,7 +30,7 @@
 int GateOverhead(const settings::Settings& aSettings);
 int DriveLoad(const settings::Settings& aSettings);
 
-/// Writes results where --json says, if it says so.
+/// Writes the results as JSON to the file that --json names, if any.
 inline void WriteJson(const settings::Settings& aSettings, const nlohmann::json& aRows)
 {
   if (!aSettings.Text("json").empty()) {
--- a/tools/load_cost.cpp
+++ b/tools/load_cost.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-// Counts allocations, to show that a decision makes none.
+// Counts heap allocations, to show that a routing decision makes none.
 void* operator new(std::size_t aSize)
 {
   ++g_allocations;
@@ -67,7 +67,7 @@
   const std::chrono::duration<double, std::micro> passed = std::chrono::steady_clock::now() - start;
   const std::size_t allocations = g_allocations - before;
   if (sink < 0) {
-    std::printf("impossible\n");
+    std::printf("impossible\n"); // keeps the compiler from removing the measured loop
   }
   return { passed.count() / kDecisions, allocations };
 }
--- a/tools/load_drive.cpp
+++ b/tools/load_drive.cpp
@@ -8,7 +8,7 @@
 #include "ferrytray/net/http_client.hpp" // for HttpClient
 #include "load.hpp"
 
-// Open loop: arrivals keep their times whatever the answers do.
+// Open-loop load: arrival times do not depend on when replies come.
 namespace ferrytray::load {
 
 namespace {
@@ -59,7 +59,7 @@
     });
   }
 
-  /// A third are returns to one of the last contexts, half are short, the rest are new contexts.
+  /// Half of the prompts are short, a third repeat a recent context, the rest start a new context.
   std::string Prompt()
   {
     const std::uint64_t draw = m_random() % 6;
--- a/tools/load_main.cpp
+++ b/tools/load_main.cpp
@@ -9,7 +9,7 @@
 int main(int argc, char** argv)
 {
   const auto parsed =
-    settings::SettingsBuilder("ferrytray-load", "Load and experiments.")
+    settings::SettingsBuilder("ferrytray-load", "Runs load tests and experiments.")
       .AllowArguments("sweep | faults | small | redundancy | cost | parts | probe | drive")
       .Add({ "seeds", "5", "sweep: runs with different seeds", SettingKind::Count })
       .Add({ "seconds", "1800", "length of a trace or of a drive", SettingKind::Number })
--- a/tools/load_parts.cpp
+++ b/tools/load_parts.cpp
@@ -15,7 +15,7 @@
 #include "ferrytray/routing/rendezvous.hpp"     // for RendezvousHomes
 #include "load.hpp"
 
-// The slopes behind docs/CAPACITY.md: what one more account, key, ticket or block costs.
+// Memory and time per account, key, ticket and block: the measurements behind docs/CAPACITY.md.
 namespace ferrytray::load {
 
 namespace {
@@ -31,7 +31,7 @@
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-/// Runs a step for so many items and tells the memory and time of one.
+/// Runs aStep for aItems items; prints and returns the mean memory and time per item.
 template<typename Step>
 json MeasurePerItem(const char* aName, std::size_t aItems, Step aStep)
 {
@@ -134,7 +134,7 @@
                      sink += routing::RendezvousHomes({ aItem, aItem }, workers, 2).front();
                    }));
   if (sink == 0) {
-    std::printf("impossible\n");
+    std::printf("impossible\n"); // keeps the compiler from removing the measured loop
   }
   WriteJson(aSettings, rows);
   return settings::kExitOk;
--- a/tools/load_probe.cpp
+++ b/tools/load_probe.cpp
@@ -4,8 +4,8 @@
 #include "ferrytray/net/http_client.hpp" // for HttpClient
 #include "load.hpp"
 
-// What the gate adds to the time to first token, beside the engine asked directly in the same run;
-// then many open streams at once.
+// Measures the gate's overhead on the time to first token, against direct requests to the engine in
+// the same run; then optionally holds many streams open at once.
 namespace ferrytray::load {
 
 namespace {
@@ -29,7 +29,7 @@
   return request;
 }
 
-/// Asks one after the other, the two addresses in turn.
+/// Sends requests one at a time, alternating between the gate and the engine.
 class AlternatingProbe
 {
 public:
@@ -83,7 +83,7 @@
   return aValues.empty() ? 0 : aValues[aValues.size() / 2];
 }
 
-/// Opens streams and waits until each has begun; they end with the program.
+/// Opens streams and holds them for --seconds. @return how many of them delivered data
 std::size_t HoldStreams(const settings::Settings& aSettings, std::size_t aStreams)
 {
   constexpr std::uint32_t kLongStreamTokens = 100000;
--- a/tools/load_redundancy.cpp
+++ b/tools/load_redundancy.cpp
@@ -7,19 +7,19 @@
 
 #include "load.hpp"
 
-// The redundancy experiment after the paper on block designs: d copies of a job are queued and all
-// but the first to start are cancelled, here with the delay that a cancel takes on a network.
+// Simulates redundant dispatch with block designs: d copies of a job are queued and all but the
+// first to start are cancelled. Unlike the paper, a cancellation takes a network delay.
 namespace ferrytray::load {
 
 namespace {
 
 enum class CopyPlacement : std::uint8_t
 {
-  Design,       ///< a block of the design at random
-  DesignInTurn, ///< the design's blocks in turn
+  Design,       ///< a random block of the design
+  DesignInTurn, ///< the design's blocks, round robin
   Random,
   RoundRobin,
-  Estimate, ///< no copies: the shortest estimated queue
+  Estimate, ///< a single copy, at the server with the shortest estimated queue
 };
 
 enum class ReportQuality : std::uint8_t
@@ -66,8 +66,8 @@
   std::size_t m_head = 0;
 };
 
-/// First-come queues with cancellation: a copy whose job started elsewhere more than the cancel
-/// delay ago is dropped; one that starts within the delay is run for nothing.
+/// FIFO queues with cancellation: a copy whose job started elsewhere at least the cancel delay ago
+/// is dropped; one that starts within the delay is wasted work.
 class RedundancyModel
 {
 public:
@@ -111,7 +111,7 @@
 private:
   using Event = std::pair<double, std::size_t>;
 
-  /// Highly variable: one job in twenty is long (mean 1).
+  /// Draws from a highly variable distribution with mean 1: one job in twenty is long.
   double DrawService()
   {
     std::exponential_distribution<double> unit(1);
@@ -144,7 +144,7 @@
     return { chosen };
   }
 
-  /// By the report as it is, plus what was sent since: the gate knows its own sends.
+  /// Uses the last report plus the jobs sent since, as a gate knows what it has sent itself.
   std::size_t ShortestQueue(double aNow)
   {
     UpdateReport(aNow);
@@ -159,7 +159,7 @@
     if (m_parameters.m_reportQuality == ReportQuality::Fresh) {
       return ActualQueue(aServer, aNow);
     }
-    // Without the service times of others a send counts as the mean; answered ones are known.
+    // Service times are unknown to the gate: each unfinished job counts as the mean of 1.
     double queued = m_parameters.m_reportQuality == ReportQuality::Lagged
                       ? std::max(0.0, m_reportedQueues[aServer] - (aNow - m_reportTime))
                       : 0;
@@ -177,7 +177,7 @@
   void UpdateReport(double aNow)
   {
     m_targetServers.resize(m_arrivalTimes.size(), 0);
-    constexpr double kReportInterval = 2; // mean service times
+    constexpr double kReportInterval = 2; // in mean service times
     if (m_reportedQueues.empty() || aNow - m_reportTime > kReportInterval) {
       m_reportedQueues.assign(m_servers.size(), 0);
       for (std::size_t i = 0; i < m_servers.size(); ++i) {
@@ -221,7 +221,7 @@
       if (startedElsewhere && aAt >= m_startTimes[job] + m_parameters.m_cancelDelay) {
         continue;
       }
-      // A late cancel stops a copy that has started: the server is taken until the cancel comes.
+      // A copy that starts before its cancellation arrives occupies the server until then.
       const double busy = startedElsewhere ? m_startTimes[job] + m_parameters.m_cancelDelay - aAt
                                            : m_serviceTimes[job];
       if (startedElsewhere) {
--- a/tools/load_sweep.cpp
+++ b/tools/load_sweep.cpp
@@ -15,7 +15,7 @@
 using experiment::Policy;
 using nlohmann::json;
 
-/// One deployment of the brief.
+/// The workload, size and cost weights of one users' deployment.
 struct Scenario
 {
   std::string m_name;
@@ -40,7 +40,7 @@
            experiment::AlwaysRestore{} };
 }
 
-/// The means over the seeds, with the spread of the 95th percentile.
+/// A policy's results as means over the seeds, with the range of the 95th percentile.
 struct PolicyResult
 {
   std::string m_policy;
@@ -206,7 +206,7 @@
   json rows = json::array();
   const std::uint64_t traces = aSettings.Count("seeds");
   for (std::uint64_t seed = 1; seed <= traces; ++seed) {
-    // The head of a trace at high load, made dense so that queues form.
+    // Takes the first arrivals of a trace at high load and packs them densely so that queues form.
     experiment::TraceOptions options;
     options.m_workers = kWorkers;
     options.m_load = 3;
