--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -102,7 +102,7 @@
                 [this, import, skip, aReply](const auto& aOutcome, const std::string& aText) {
                   const json reply = ParseBody(aText);
                   if (aOutcome.m_status != 200 || !reply.contains("blocks")) {
-                    SendError(aReply, 502, "store did not answer", false);
+                    SendError(aReply, 502, "store did not reply", false);
                     return;
                   }
                   std::vector<std::string> values;
@@ -142,7 +142,7 @@
   }
   m_http->Fetch(std::move(request), [aReply, manifest](const auto& aOutcome, const std::string&) {
     if (aOutcome.m_status != 200) {
-      SendError(aReply, 502, "store did not take it", false);
+      SendError(aReply, 502, "store rejected the upload", false);
       return;
     }
     SendJson(aReply, 200, { { "manifest", manifest } });
@@ -181,7 +181,7 @@
       }
       m_options.m_version = aVersion;
       m_swapTarget.clear();
-      // What queued for the old version has not started; its callers are told so.
+      // Requests queued for the old version have not started; their replies say so.
       for (const auto& [key, run] : m_prefillQueue) {
         for (const ReplyPtr& reader : run->m_readers) {
           reader->Write(ToServerSentEvent(
--- a/standins/engine.hpp
+++ b/standins/engine.hpp
@@ -29,9 +29,9 @@
   bool m_checksFencing = false;
 };
 
-/// A model engine: batches, caches prefixes, honours priorities, resumes and cancels streams,
-/// moves KV blocks, publishes late cache events, takes orders. Its answers depend on the content
-/// of the blocks that it used, so a wrong, partial or foreign block shows in the text.
+/// A simulated model engine: batching, prefix cache, priorities, resumable and cancellable streams,
+/// KV block import and export, cache events, weight swap orders. The generated text depends on the
+/// content of the blocks used, so a wrong, partial or foreign block changes the text.
 class Engine
 {
 public:
@@ -49,9 +49,9 @@
     std::string m_prompt;
     std::string m_version;
     std::vector<std::string> m_blocks;
-    std::vector<std::string> m_importedBlocks; ///< contents of the blocks from m_importSkip on
+    std::vector<std::string> m_importedBlocks; ///< block contents, the first at m_importSkip
     std::size_t m_importSkip = 0;
-    std::vector<std::string> m_reusedBlocks; ///< held from the start of the prefill on
+    std::vector<std::string> m_reusedBlocks; ///< copied when the prefill starts
     std::uint64_t m_priority = 0;
     std::uint64_t m_sequence = 0;
     std::uint32_t m_tokensLeft = 0;
@@ -116,7 +116,7 @@
   bool m_leaving = false;
   double m_slowness = 1;
   int m_eventsToDrop = 0;
-  std::string m_answerVersion; ///< a fault: what it says it runs; empty: the truth
+  std::string m_answerVersion; ///< injected fault: the version it reports; empty: the real one
   std::uint64_t m_eventPolls = 0;
 };
 
--- a/standins/engine_cache.hpp
+++ b/standins/engine_cache.hpp
@@ -9,7 +9,7 @@
 
 namespace standins {
 
-/// One change of the cache, as an engine publishes it.
+/// A published change of the cache: a block was stored or evicted.
 struct CacheEvent
 {
   std::uint64_t m_sequence = 0;
@@ -17,7 +17,7 @@
   bool m_stored = false;
 };
 
-/// The engine's prefix cache: block name to content, least recently used out first.
+/// The engine's prefix cache with LRU eviction: maps block names to contents.
 class EngineCache
 {
 public:
@@ -27,11 +27,12 @@
   }
 
   void Put(const std::string& aBlock, const std::string& aValue);
-  /// The content, or empty; a hit makes it the most recent.
+  /// Returns the content, or an empty string. A hit makes the block the most recently used.
   std::string Get(const std::string& aBlock);
   void Clear();
   [[nodiscard]] std::vector<std::string> BlockNames() const;
-  /// Events after a sequence number. Old ones are forgotten, which the reader sees as a gap.
+  /// Returns the events after a sequence number. Old events are discarded, which a reader sees as a
+  /// gap in the numbers.
   [[nodiscard]] std::vector<CacheEvent> EventsAfter(std::uint64_t aSequence) const;
   [[nodiscard]] std::uint64_t LastSequence() const { return m_sequence; }
 
--- a/standins/engine_main.cpp
+++ b/standins/engine_main.cpp
@@ -38,9 +38,11 @@
       .Add({ "cache-blocks", "4096", "KV blocks that fit in memory", SettingKind::Count })
       .Add({ "max-batch", "64", "streams decoded together", SettingKind::Count })
       .Add({ "swap-time", "1000", "weight swap after the download", SettingKind::Millis })
-      .Add({ "load-lag", "0", "lag of load reports", SettingKind::Millis })
-      .Add(
-        { "checks-fencing", "false", "refuse orders with old fencing numbers", SettingKind::Flag })
+      .Add({ "load-lag", "0", "age of the load reports", SettingKind::Millis })
+      .Add({ "checks-fencing",
+             "false",
+             "reject orders with stale fencing numbers",
+             SettingKind::Flag })
       .Build(argc, argv);
   return settings::RunWith(parsed, [&](const settings::Settings& aSettings) {
     return standins::RunStandIn(argv[0], aSettings, [&](net::Loop& aLoop) {
--- a/standins/engine_runs.cpp
+++ b/standins/engine_runs.cpp
@@ -1,4 +1,4 @@
-// How the engine's stand-in runs completions: prefill one by one, decoding together.
+// Runs completions: prefills one at a time, decodes all running streams as a batch.
 #include "standins/engine.hpp"
 
 #include <algorithm> // for max, min
@@ -129,7 +129,7 @@
   m_prefillQueue.erase(m_prefillQueue.begin());
   m_prefilling = run;
   ++m_executions[run->m_request];
-  // What is reused is held from here on: an eviction during the prefill does not touch it.
+  // Copies the reused blocks, so that an eviction during the prefill does not affect the run.
   for (const std::string& block : run->m_blocks) {
     const std::string value = m_cache.Get(block);
     if (value.empty()) {
@@ -139,7 +139,7 @@
   }
   const std::size_t cached = run->m_reusedBlocks.size();
   run->m_cachedTokens = static_cast<std::uint32_t>(cached) * m_options.m_blockTokens;
-  // An import is of use only if everything before it is there.
+  // Imported blocks are usable only if all blocks before them are cached.
   const std::size_t importEnd = run->m_importSkip + run->m_importedBlocks.size();
   if (run->m_importSkip <= cached && importEnd > cached) {
     const auto from = static_cast<std::ptrdiff_t>(cached - run->m_importSkip);
@@ -171,7 +171,7 @@
 {
   m_prefilling = nullptr;
   std::vector<std::string> values = ComputeBlocks(*aRun);
-  // What was reused is used as it is, right or wrong: that is what a real engine does.
+  // Reused blocks are not verified, as in a real engine: wrong content gives wrong text.
   std::string digest;
   for (std::size_t i = 0; i < values.size(); ++i) {
     if (i < aRun->m_reusedBlocks.size()) {
--- a/standins/engine_text.hpp
+++ b/standins/engine_text.hpp
@@ -8,14 +8,14 @@
 
 namespace standins {
 
-/// What an engine derives from a text; the same wherever it is computed.
+/// A deterministic hash of a text, equal in every engine process.
 inline std::string Hash(const std::string& aSeed, const std::string& aText)
 {
   using namespace ferrytray;
   return base::ToHex(base::HashWithSeed(base::HashWithSeed({}, aSeed), aText));
 }
 
-/// One event of an answer that is streamed.
+/// Formats JSON as a server-sent event.
 inline std::string ToServerSentEvent(const nlohmann::json& aEvent)
 {
   return "data: " + aEvent.dump() + "\n\n";
--- a/standins/platform_log.cpp
+++ b/standins/platform_log.cpp
@@ -70,7 +70,7 @@
                         const std::string& aBody,
                         const ReplyPtr& aReply)
 {
-  // A few hundred appends a second: later ones queue behind earlier ones.
+  // Limits the append rate: an append waits until the earlier ones are done.
   const base::TimePoint now = base::MonotonicNow();
   m_nextAppendTime =
     std::max(m_nextAppendTime, now) + base::FromSeconds(1.0 / m_options.m_appendsPerSecond);
--- a/standins/platform_log.hpp
+++ b/standins/platform_log.hpp
@@ -15,10 +15,11 @@
   double m_appendsPerSecond = 500;
   ferrytray::base::Duration m_hostListLag{};
   ferrytray::base::Duration m_weightTime = std::chrono::milliseconds(200);
-  std::size_t m_weightSlots = 3; ///< downloads at full speed
+  std::size_t m_weightSlots = 3; ///< concurrent downloads at full speed
 };
 
-/// The platform: an append-only log with offsets, a lagging host list, a limited weight store.
+/// A simulated platform: an append-only log, a host list that is published with a lag, and a weight
+/// store with limited bandwidth.
 class Platform
 {
 public:
@@ -68,7 +69,7 @@
   std::uint64_t m_appends = 0;
   std::uint64_t m_lastLongPollId = 0;
   std::size_t m_activeDownloads = 0;
-  std::deque<ReplyPtr> m_unanswered; ///< kept so that their connections stay open
+  std::deque<ReplyPtr> m_unanswered; ///< held so that the connections stay open
   bool m_down = false;
   bool m_answersLongPolls = true;
   int m_repliesToDrop = 0;
--- a/standins/platform_main.cpp
+++ b/standins/platform_main.cpp
@@ -24,11 +24,11 @@
     settings::SettingsBuilder("standin-platform",
                               "The platform's log, host list and weight store for tests.")
       .Add({ "listen", "127.0.0.1:0", "IP:PORT" })
-      .Add({ "retained-records", "1000000", "records kept in a stream", SettingKind::Count })
-      .Add({ "appends-per-second", "500", "appends that the log takes", SettingKind::Number })
-      .Add({ "host-list-lag", "0", "lag of the host list", SettingKind::Millis })
-      .Add({ "weight-time", "200", "download of a weight version", SettingKind::Millis })
-      .Add({ "weight-slots", "3", "downloads at full speed", SettingKind::Count })
+      .Add({ "retained-records", "1000000", "records retained per stream", SettingKind::Count })
+      .Add({ "appends-per-second", "500", "append rate limit of the log", SettingKind::Number })
+      .Add({ "host-list-lag", "0", "publication lag of the host list", SettingKind::Millis })
+      .Add({ "weight-time", "200", "download time of a weight version", SettingKind::Millis })
+      .Add({ "weight-slots", "3", "concurrent downloads at full speed", SettingKind::Count })
       .Build(argc, argv);
   return settings::RunWith(parsed, [&](const settings::Settings& aSettings) {
     return standins::RunStandIn(argv[0], aSettings, [&](net::Loop& aLoop) {
--- a/standins/proxy_main.cpp
+++ b/standins/proxy_main.cpp
@@ -16,18 +16,18 @@
 
 namespace {
 
-/// What the proxy does to what passes. Settable while it runs.
+/// Faults that the proxy injects. They can be changed while it runs.
 struct Faults
 {
   base::Duration m_delay{};
   bool m_cut = false;        ///< close connections, drop datagrams
-  bool m_halfOpen = false;   ///< accept and take bytes, pass nothing on
-  bool m_mute = false;       ///< one way only: requests pass, replies do not
-  int m_dropReplies = 0;     ///< so many connections end after the request, before any reply byte
-  long m_cutReplyAfter = -1; ///< bytes of a reply after which one connection is cut; -1: never
+  bool m_halfOpen = false;   ///< accept connections and read bytes, but forward nothing
+  bool m_mute = false;       ///< forward requests but no replies
+  int m_dropReplies = 0;     ///< how many connections to close at the first reply bytes
+  long m_cutReplyAfter = -1; ///< reply bytes after which to close one connection; -1: never
 };
 
-/// One connection through the proxy.
+/// A proxied TCP connection.
 class ProxyConnection : public std::enable_shared_from_this<ProxyConnection>
 {
 public:
@@ -133,7 +133,7 @@
   long m_replyBytes = 0;
 };
 
-/// Passes TCP connections and UDP datagrams on, with faults.
+/// Forwards TCP connections and UDP datagrams, with injected faults.
 class Proxy
 {
 public:
@@ -171,7 +171,8 @@
   }
 
 private:
-  /// Finds a port that is free for both; other programs' datagram sockets may have the first ones.
+  /// Binds TCP and UDP to the same port. Retries because the UDP port that matches an ephemeral TCP
+  /// port may be in use by another program.
   void Listen()
   {
     constexpr int kMaxBindAttempts = 50;
@@ -236,9 +237,9 @@
 int main(int argc, char** argv)
 {
   const auto parsed =
-    settings::SettingsBuilder("standin-proxy", "Passes TCP and UDP on, with faults.")
-      .Add({ "listen", "127.0.0.1:0", "IP:PORT of its control (POST /faults)" })
-      .Add({ "to", "", "IP:PORT to pass on to", settings::SettingKind::Text, true })
+    settings::SettingsBuilder("standin-proxy", "Forwards TCP and UDP with injected faults.")
+      .Add({ "listen", "127.0.0.1:0", "IP:PORT of the control interface (POST /faults)" })
+      .Add({ "to", "", "IP:PORT to forward to", settings::SettingKind::Text, true })
       .Build(argc, argv);
   int exitCode = 0;
   const auto* settings = settings::SettingsOrExit(parsed, exitCode);
--- a/standins/service_main.cpp
+++ b/standins/service_main.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A plain service: counts every execution by request id.
+/// A plain service that counts executions by request id.
 class Service
 {
 public:
--- a/standins/standin.hpp
+++ b/standins/standin.hpp
@@ -13,7 +13,7 @@
 #include "ferrytray/settings/settings.hpp"  // for SettingsOrExit
 #include "ferrytray/telemetry/log_line.hpp" // for StartLogging
 
-/// What every stand-in shares: JSON answers and a main that serves until it is ended.
+/// Shared by all stand-ins: JSON replies and a server loop.
 namespace standins {
 
 using nlohmann::json;
@@ -33,13 +33,13 @@
     aReply, aStatus, { { "error", { { "message", aMessage } } }, { "x_started", aStarted } });
 }
 
-/// Parses a body; null for anything but JSON.
+/// Parses a body. @return a discarded JSON value if it is not valid JSON
 inline json ParseBody(const std::string& aBody)
 {
   return json::parse(aBody, nullptr, false);
 }
 
-/// A handler that answers 400 instead of throwing on odd input.
+/// Wraps a handler so that an exception, such as for a missing field, becomes a 400 reply.
 inline ferrytray::net::HttpHandler ReplyOnException(ferrytray::net::HttpHandler aHandler)
 {
   return [handler = std::move(aHandler)](ferrytray::net::HttpRequest aRequest, ReplyPtr aReply) {
@@ -51,7 +51,7 @@
   };
 }
 
-/// Listens, prints "listening IP:PORT" and runs the loop.
+/// Listens, prints "listening IP:PORT" and runs the loop until the process is terminated.
 inline int Serve(ferrytray::net::Loop& aLoop,
                  const std::string& aListen,
                  ferrytray::net::HttpHandler aHandler)
@@ -75,8 +75,8 @@
   return ferrytray::settings::kExitOk;
 }
 
-/// Runs a stand-in until it is ended.
-/// @param aFactory builds it on a loop
+/// Runs a stand-in until the process is terminated.
+/// @param aFactory creates the stand-in on a loop
 template<typename Factory>
 int RunStandIn(const char* aProgram,
                const ferrytray::settings::Settings& aSettings,
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -103,7 +103,8 @@
                      { "checksum", block.m_checksum } });
   }
   if (m_freeOnRead) {
-    // Freed, and the room used again by something else, while the bytes are on their way.
+    // Simulates blocks that are freed and whose memory is reused during the transfer: other content
+    // with a valid checksum.
     for (json& row : rows) {
       m_blocks.erase(row.at("block").get<std::string>());
       row["value"] = Checksum("reused" + row.at("value").get<std::string>());
--- a/standins/store.hpp
+++ b/standins/store.hpp
@@ -14,10 +14,11 @@
   std::size_t m_diskBlocks = 100000;
   double m_linkBytesPerSecond = 1e9;
   double m_diskBytesPerSecond = 2e8;
-  double m_bytesPerBlock = 33554432; ///< simulated size of a block on the link
+  double m_bytesPerBlock = 33554432; ///< simulated transfer size of a block
 };
 
-/// A store host: memory and disk tiers, one limited link, staging then commit, frees.
+/// A simulated KV block store: memory and disk tiers, a link of limited bandwidth, two-phase
+/// uploads (stage, then commit) and frees.
 class Store
 {
 public:
@@ -31,7 +32,7 @@
     std::size_t m_length = 0;
     std::string m_checksum;
     std::uint64_t m_generation = 0;
-    double m_worth = 0; ///< what the committer said it saves; the lowest goes first
+    double m_worth = 0; ///< the savings claimed at the commit; the lowest is evicted first
     bool m_onDisk = false;
   };
 
@@ -43,7 +44,7 @@
   void OnFree(const json& aBody, const ReplyPtr& aReply);
   void OnFaults(const json& aBody, const ReplyPtr& aReply);
 
-  /// Books a transfer on the link and calls when it is through.
+  /// Queues a transfer on the link and calls aDone when it is complete.
   void Transfer(double aBytes, bool aFromDisk, std::function<void()> aDone);
   [[nodiscard]] ferrytray::base::Duration LinkQueueDelay() const;
   void EvictExcessBlocks();
