--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -15,11 +15,11 @@
 using namespace ferrytray;
 using namespace std::chrono_literals;
 
-// Engines of 70,000 tokens, of which a long prompt takes a sixth.
+// A long prompt takes about a sixth of an engine's memory.
 inline constexpr std::uint64_t kEngineMemoryTokens = 70'000;
 inline constexpr std::uint32_t kLongPromptTokens = 12'000;
 
-/// Plain names; the platform's own are tested beside its adapter.
+/// A wire format with plain header names. The platform's own format is tested with its adapter.
 class FakeFormat final : public relay::WireFormat
 {
 public:
@@ -125,7 +125,7 @@
   return std::make_shared<fleet::ConfigurationIndex>(std::move(configuration));
 }
 
-/// A host's core with two engines, a and b, and a front to ask.
+/// A relay core with two engines, a and b, and a front end that requests are sent to.
 struct ExchangeFixture : public Utest
 {
   net::Loop m_loop;
--- a/tests/support/fake_http.hpp
+++ b/tests/support/fake_http.hpp
@@ -10,7 +10,7 @@
 
 namespace support {
 
-/// Records calls; a test answers them by hand.
+/// Records calls. The test triggers their replies.
 class FakeHttpClient final : public ferrytray::net::HttpClient
 {
 public:
@@ -19,7 +19,7 @@
     ferrytray::net::ClientRequest m_request;
     ferrytray::net::ClientEvents m_events;
     bool m_cancelled = false;
-    int m_status = 0; ///< answered
+    int m_status = 0; ///< of the reply
   };
 
   ferrytray::net::CallId Start(ferrytray::net::ClientRequest aRequest,
@@ -31,7 +31,8 @@
   void Cancel(ferrytray::net::CallId aCall) override { m_calls[aCall - 1].m_cancelled = true; }
   [[nodiscard]] std::uint64_t BytesMoved() const override { return 0; }
 
-  /// Answers the newest call; the events' owner may start the next one meanwhile.
+  /// Replies to the newest call. Copies the events, as their owner may start the next call
+  /// meanwhile, which reallocates m_calls.
   void Head(int aStatus, const ferrytray::net::Headers& aHeaders)
   {
     const auto events = m_calls.back().m_events;
@@ -58,7 +59,7 @@
   std::vector<Call> m_calls;
 };
 
-/// Records what a caller would see.
+/// Records the reply that a caller would receive.
 class FakeReply final : public ferrytray::net::HttpReply
 {
 public:
--- a/tests/support/fake_record_log.hpp
+++ b/tests/support/fake_record_log.hpp
@@ -10,7 +10,7 @@
 
 namespace support {
 
-/// Answers are queued beforehand; when they run out the loop stops.
+/// A record log that gives the replies queued by the test. Stops the loop when none are left.
 class FakeRecordLog final : public ferrytray::store::RecordLog
 {
 public:
@@ -56,7 +56,7 @@
   std::deque<ferrytray::base::Result<ferrytray::store::Batch>> m_batches;
   std::vector<ferrytray::store::Offset> m_readFrom;
   std::vector<ferrytray::base::Duration> m_waits;
-  bool m_holdReads = false; ///< the next reads are not answered
+  bool m_holdReads = false; ///< reads are not answered; the last one is in m_heldRead
   ferrytray::store::Done<ferrytray::store::Batch> m_heldRead;
   std::function<void()> m_onReadHeld;
 
--- a/tests/support/memory_record_log.hpp
+++ b/tests/support/memory_record_log.hpp
@@ -8,7 +8,7 @@
 
 namespace support {
 
-/// A record log in memory. Reads answer at once, whatever they may wait.
+/// A record log in memory. Reads are answered immediately, whatever wait they allow.
 class MemoryRecordLog final : public ferrytray::store::RecordLog
 {
 public:
@@ -83,7 +83,8 @@
   }
 
   bool m_down = false;
-  std::string m_unansweredTopic; ///< reads of this topic, but for snapshots, are never answered
+  std::string
+    m_unansweredTopic; ///< reads of this topic, except of its snapshot, are never answered
   std::size_t m_reads = 0;
   std::map<std::string, std::size_t> m_readsByTopic; ///< by topic, snapshots included
   std::map<std::string, std::size_t> m_snapshotReadsByTopic;
--- a/tests/support/news_fixture.hpp
+++ b/tests/support/news_fixture.hpp
@@ -19,7 +19,7 @@
 inline const cache::PartName kPart{ "m.1", "p" };
 inline const std::string kStore = "s:1";
 
-/// One host's side of the exchange, with its own view of the log.
+/// One host of the peer exchange, with its own copy of the log.
 struct PeerHost
 {
   PeerHost(net::Loop& aLoop,
@@ -58,7 +58,7 @@
     options.m_firstHostsReadDelay = 5ms;
     options.m_hostsReadRetry = 5ms;
     options.m_registrationRetry = 5ms;
-    options.m_requestTimeout = 2s; // the test's own loop may be slow
+    options.m_requestTimeout = 2s; // both hosts share the test's loop, which may be slow
     return options;
   }
 
@@ -74,7 +74,7 @@
   peers::PeerExchange m_exchange;
 };
 
-/// Two hosts that exchange news: one that reads the topics and one that follows it.
+/// Two hosts that exchange state: one that reads the topics and one that follows it.
 struct PeerExchangeFixture : public Utest
 {
   net::Loop m_loop;
@@ -87,7 +87,7 @@
   {
     CHECK(m_reader->m_exchange.Start().has_value());
     CHECK(m_follower->m_exchange.Start().has_value());
-    // Both write to one log; the fakes are shared by hand.
+    // Both hosts are to see the same log, so each registration is copied to the other's fake.
     auto& one = m_reader->m_log.m_topics["hosts"];
     auto& other = m_follower->m_log.m_topics["hosts"];
     one.push_back(other.front());
@@ -135,7 +135,7 @@
     return AddFollowerTo(aHost.m_exchange, aHost.m_log, aReceivedKeys);
   }
 
-  /// Asks the reader as another host would.
+  /// Sends a request to the reader as another host would.
   peers::SyncReply SendToReader(peers::SyncRequest aRequest)
   {
     const auto reader = peers::DecodePeer(m_reader->m_log.m_topics["hosts"].front().m_value);
