--- a/tests/integration/client.cpp
+++ b/tests/integration/client.cpp
@@ -68,7 +68,7 @@
   net::Loop loop;
   const auto http = net::HttpClient::Create(loop);
   std::vector<Response> responses(aCalls.size());
-  // Ends when every call has ended and what is to be done meanwhile was done.
+  // The loop stops when every call has ended and aAfterStart has returned.
   std::size_t remaining = aCalls.size() + 1;
   const auto finishOne = [&] {
     if (--remaining == 0) {
--- a/tests/integration/client.hpp
+++ b/tests/integration/client.hpp
@@ -14,22 +14,24 @@
 
 using nlohmann::json;
 
-/// One call's answer.
+/// The response to a call.
 struct Response
 {
   int m_status = 0;
   std::string m_body;
   ferrytray::net::WireEnd m_end = ferrytray::net::WireEnd::NotSent;
 
-  /// The body as JSON; null when it is anything else.
+  /// The parsed body; a discarded value if it is not JSON.
   json Json() const { return json::parse(m_body, nullptr, false); }
+  /// The error code in the body, or 0.
   int ErrorCode() const;
+  /// The error's "run" field ("not_run", "unknown"), or empty.
   std::string RunState() const;
-  /// The answer's text, of a whole answer or of a stream.
+  /// The generated text of a JSON or streamed response.
   std::string Text() const;
 };
 
-/// A call to make.
+/// An HTTP call to send.
 struct Call
 {
   std::string m_method = "POST";
@@ -38,12 +40,13 @@
   ferrytray::net::Headers m_headers;
 };
 
-/// Makes a call and waits for its end.
+/// Sends a call and waits until it has ended.
 Response Send(const Call& aCall);
-/// Makes many calls at the same time. @param aAfterStart run once when all have been started
+/// Sends calls concurrently and waits for all. @param aAfterStart runs once, shortly after the
+/// start
 std::vector<Response> SendAll(const std::vector<Call>& aCalls,
                               const std::function<void()>& aAfterStart = {});
-/// POSTs JSON to a stand-in's control.
+/// Posts JSON to a stand-in, such as to its fault control.
 Response Post(const std::string& aUrl, const json& aBody);
 Response Get(const std::string& aUrl);
 
--- a/tests/integration/control_test.cpp
+++ b/tests/integration/control_test.cpp
@@ -40,7 +40,7 @@
     }
   }
 
-  /// A call of the plain service with another key.
+  /// Calls the plain service with another API key.
   Response SendWithKey(const std::string& aKey)
   {
     Call call = MakeServiceCall(Host("h1"), "look");
@@ -113,9 +113,9 @@
   CHECK(refused.m_exitCode != 0);
 }
 
-// A key may have come with a file that this gate has not heard of. Found by looking for what the
-// feeds of the users' platform had: the gate took its keeper's silence for no news, however long,
-// and a keeper told its gate nothing of how old its own knowledge was.
+// An unknown key may belong to a configuration file that has not reached this gate yet, so a gate
+// whose knowledge may be stale must answer 503 instead of 401. Guards against a gate that takes any
+// silence of its keeper for "no change", and a keeper that does not report its knowledge's age.
 TEST(Control, AGateWithASuspendedKeeperAnswers503ToUnknownKeysAndKeepsServing)
 {
   AddHosts(1);
@@ -201,7 +201,7 @@
   const std::string second = first == "h1" ? "h2" : "h1";
   Host(first).m_keeper.Signal(SIGSTOP);
   CHECK(WaitFor([&] { return holder() == second; }));
-  // The standard fleet does not check fencing numbers: the waking holder must hold back by itself.
+  // The standard fleet does not check fencing numbers, so the resumed holder itself must not send.
   Host(first).m_keeper.Signal(SIGCONT);
   m_deployment.Apply(StandardFile("2"));
   CHECK(WaitFor(
@@ -257,7 +257,7 @@
 
 TEST(Control, FleetHandoverWaitsUntilDrainedAndRecorded)
 {
-  // Two halves, each with a platform of its own.
+  // Two halves, each with its own platform.
   AddHosts(2);
   m_deployment.AddEngine("w1", { "--token-time", "10" });
   m_deployment.StartDeployment();
@@ -271,7 +271,7 @@
            "\n    epoch: " + std::to_string(aEpoch) + "\n    other_half: " + aOther + "\n";
   };
   LONGS_EQUAL(0, m_deployment.Apply(rule("here", 1, otherHost.GateUrl())).m_exitCode);
-  // The taker's operator is early: it must not serve before the hand-over is recorded.
+  // The receiving half is configured early; it must not serve before the handover is recorded.
   LONGS_EQUAL(0, other.Apply(rule("here", 2, Host("h1").GateUrl())).m_exitCode);
   LONGS_EQUAL(200, Send(MakeCompletionCall(Host("h1"), "mine")).m_status);
   LONGS_EQUAL(6003, Send(MakeCompletionCall(otherHost, "not yet")).ErrorCode());
@@ -287,13 +287,13 @@
   CHECK(responses.front().m_body.find("[DONE]") != std::string::npos);
   CHECK(WaitFor([&] { return Send(MakeCompletionCall(otherHost, "now")).m_status == 200; }));
   LONGS_EQUAL(6003, Send(MakeCompletionCall(Host("h1"), "gone")).ErrorCode());
-  // Wishing for the ended epoch again changes nothing.
+  // Applying a rule of a past epoch again has no effect.
   LONGS_EQUAL(0, m_deployment.Apply(rule("here", 1, otherHost.GateUrl())).m_exitCode);
   LONGS_EQUAL(6003, Send(MakeCompletionCall(Host("h1"), "still gone")).ErrorCode());
 }
 
-// Found by the soak: the keeper told its gate of the first configuration only if the gate came
-// after the log had been read to its end.
+// Guards against a keeper that sends the first configuration only to a gate that connects after the
+// log was read to its end. Found by the soak.
 TEST(Control, AGateConnectedBeforeTheFirstConfigurationReceivesIt)
 {
   AddHosts(1);
--- a/tests/integration/deployment.hpp
+++ b/tests/integration/deployment.hpp
@@ -42,7 +42,7 @@
   }
 };
 
-/// A small deployment of real processes on loopback.
+/// A small deployment of real processes on the loopback interface.
 class Deployment
 {
 public:
@@ -62,14 +62,14 @@
   Endpoint& AddStore(const std::string& aName,
                      const std::vector<std::string>& aArguments = {},
                      bool aProxied = false);
-  /// Tells the platform of every endpoint and host.
+  /// Publishes all endpoints and hosts in the platform's host list.
   void PublishHostList();
   void SetState(const std::string& aName, const std::string& aState);
 
-  /// Writes a file, applies it and waits until every host has it in force.
+  /// Applies a configuration file with the CLI, which waits until it is in force on every host.
   ProcessResult Apply(const std::string& aYaml, const std::string& aName = "test.yaml");
   ProcessResult RunCli(const std::vector<std::string>& aArguments) const;
-  /// Applies the standard file and waits until every gate is ready and every engine known.
+  /// Applies the standard file and waits until every gate is ready and knows every endpoint.
   void StartDeployment(const std::string& aExtra = "");
   void WaitReady();
 
@@ -81,7 +81,7 @@
   std::string PlatformDirectUrl() const { return "http://" + m_platform.At("listening"); }
   Endpoint& At(const std::string& aName) { return m_endpoints.at(aName); }
   std::map<std::string, EntryHost>& Hosts() { return m_hosts; }
-  /// Executions of a request over every engine and service.
+  /// How often all engines and services together executed a request.
   int Executions(const std::string& aRequest) const;
 
 private:
@@ -98,20 +98,20 @@
   std::map<std::string, std::string> m_states;
 };
 
-/// The standard file's text: model "m" at version "1", fleet "f", service "/catalogue", accounts
+/// The standard configuration: model "m" at aVersion, fleet "f", service "/catalogue", accounts
 /// "lab" (key "lab-key") and "bench" (key "bench-key").
 std::string StandardFile(const std::string& aVersion = "1", const std::string& aFleetExtra = "");
 
-/// A request for the model. @param aHeaders besides the key of account "lab"
+/// Builds a completion request by account "lab". @param aHeaders added to its authorization
 Call MakeCompletionCall(const EntryHost& aHost,
                         const std::string& aPrompt,
                         const json& aFields = {},
                         ferrytray::net::Headers aHeaders = {});
-/// A call of the plain service.
+/// Builds a call of the plain service by account "lab".
 Call MakeServiceCall(const EntryHost& aHost,
                      const std::string& aBody,
                      ferrytray::net::Headers aHeaders = {});
-/// The text that an engine gives for a prompt when it is alone and computes everything itself.
+/// The text that a fresh engine without cached blocks generates for a prompt.
 std::string ReferenceText(const std::string& aPrompt,
                           const std::string& aAccount = "lab",
                           const std::string& aVersion = "1",
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -45,7 +45,7 @@
 TEST(Once, ALostReplyIsReportedUnknownAndNotRetried)
 {
   StartDeployment(1);
-  // The first call leaves a connection that a later one could reuse (and libcurl resend on).
+  // Leaves an idle connection: libcurl may reuse it and resend a request when it breaks.
   LONGS_EQUAL(
     200,
     Send(MakeServiceCall(Host("h1"), "warm", { { "Ferrytray-Idempotent", "true" } })).m_status);
@@ -56,8 +56,8 @@
   LONGS_EQUAL(1, m_deployment.Executions("order"));
 }
 
-// The log answers what it is asked, but no read that it holds open. A gate that has its own claim
-// acknowledged need not wait to hear of it.
+// Guards against a gate that needs its claim to arrive on a long poll: the log acknowledges appends
+// here but never answers long polls, and the acknowledged append must suffice.
 TEST(Once, AKeyedCallCompletesWhileLongPollsStayUnanswered)
 {
   StartDeployment(1);
--- a/tests/integration/process.cpp
+++ b/tests/integration/process.cpp
@@ -67,7 +67,7 @@
   return spawned;
 }
 
-/// Copies what is left of a program's output to a file until the program ends.
+/// Appends a program's remaining output to a file until the program exits.
 void AppendOutputToFile(std::FILE* aOutput, const std::string& aPath)
 {
   std::FILE* file = std::fopen(aPath.c_str(), "a");
--- a/tests/integration/process.hpp
+++ b/tests/integration/process.hpp
@@ -7,18 +7,19 @@
 #include <sys/types.h> // for pid_t
 #include <vector>      // for vector
 
-/// What the integration tests start and stop. Test code only: no program of the project starts
-/// another.
+/// Child processes of the integration tests. Test code only: no program of the project starts
+/// another one.
 namespace integration {
 
-/// A program that was started; killed when it goes out of scope.
+/// A child process, killed by the destructor.
 class Process
 {
 public:
   Process() = default;
+  /// Starts a program and reads its output until every startup key was printed.
   /// @param aProgram path below the build folder
-  /// @param aStartupKeys words of its first lines to wait for; the rest of such a line is kept
-  /// @param aOutputFile file to which later output is appended; empty: nobody reads it
+  /// @param aStartupKeys first words of output lines; the rest of the line is stored as the value
+  /// @param aOutputFile file to which later output is appended; empty: it is discarded
   Process(const std::string& aProgram,
           std::vector<std::string> aArguments,
           std::vector<std::string> aStartupKeys,
@@ -27,12 +28,12 @@
   Process(Process&& aOther) noexcept;
   Process& operator=(Process&& aOther) noexcept;
 
-  /// What followed a word, such as the address after "listening".
+  /// The value of a startup key, such as the address after "listening".
   const std::string& At(const std::string& aKey) const { return m_startupValues.at(aKey); }
   void Signal(int aSignal) const;
-  /// Waits for it to end. @return its exit code, or minus the signal that ended it
+  /// Waits for the process to exit. @return its exit code, or minus the signal that killed it
   int Wait();
-  /// The same without waiting. @return empty while it runs
+  /// Like Wait, but does not block. @return empty while the process runs
   std::optional<int> TryWait();
   void Kill();
   bool Running() const { return m_pid > 0; }
@@ -43,15 +44,16 @@
   std::map<std::string, std::string> m_startupValues;
 };
 
-/// Waits until a condition holds, for a long limit. @return whether it came to hold
+/// Polls until a condition holds or a long timeout has passed. @return whether it held
 bool WaitFor(const std::function<bool()>& aCondition);
 
-/// Runs a program to its end and gives what it printed.
+/// The exit code and the output (standard output and error) of a program.
 struct ProcessResult
 {
   int m_exitCode = 0;
   std::string m_output;
 };
+/// Runs a program and waits until it has exited.
 ProcessResult RunToCompletion(const std::string& aProgram,
                               const std::vector<std::string>& aArguments);
 
--- a/tests/integration/restore_test.cpp
+++ b/tests/integration/restore_test.cpp
@@ -42,7 +42,7 @@
     return Get(m_deployment.At("s1").DirectUrl() + "/stat").Json()["blocks"].get<int>();
   }
 
-  /// Runs a context once, waits until it is kept and evicts it from the engine.
+  /// Runs a context once, waits until the store has its blocks and evicts them from the engine.
   void RunAndEvict(const std::string& aContext, int aMinStoredBlocks)
   {
     LONGS_EQUAL(200, Send(MakeCompletionCall(*m_host, aContext + "first")).m_status);
@@ -50,7 +50,7 @@
     Evict();
   }
 
-  /// Evicts everything from the engine and waits until the gate has heard of it.
+  /// Evicts all blocks from the engine and waits until the cache events were polled.
   void Evict()
   {
     m_deployment.At("w1").SetFaults({ { "evict", true } });
@@ -169,7 +169,7 @@
 
 TEST(Restore, AStoreKilledDuringAnImportIsTreatedAsACacheMiss)
 {
-  // Slow link: the import lasts long enough to be cut.
+  // Slow link: the import must last long enough for the store to be killed during it.
   StartDeployment({ "--link-bytes-per-second", "20000000", "--bytes-per-block", "1024000" });
   const std::string context = MakeContext(7);
   RunAndEvict(context, 20);
@@ -204,8 +204,8 @@
   CHECK(response.Text().empty());
 }
 
-// Found by the soak: an import begins after the blocks that the engine is thought to have. When
-// those have gone since, what follows them must not be used.
+// An import starts after the blocks that the gate believes to be in the engine's cache. Guards
+// against using the imported blocks when those before them were evicted since. Found by the soak.
 TEST(Restore, AnImportWhosePrefixWasEvictedIsNotUsed)
 {
   StartDeployment();
--- a/tests/integration/serving_test.cpp
+++ b/tests/integration/serving_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A raw connection, for what no well-behaved client sends.
+/// A raw TCP connection, to send malformed or incomplete requests.
 class RawConnection
 {
 public:
@@ -224,7 +224,7 @@
     }
     return leaving == 2;
   }));
-  // The gate is told within its keeper's next push.
+  // The gate learns of the change with its keeper's next push.
   CHECK(WaitFor([&] {
     const Response response =
       Send(MakeCompletionCall(*m_host, "probe", {}, { { "X-Request-Id", "probe" } }));
@@ -269,9 +269,9 @@
   CHECK(m_deployment.RunCli({ "explain", "nobody" }).m_exitCode != 0);
 }
 
-// Seen with hosts on the users' platform: one request, which came again at any host, ended each
-// endpoint that ran it. A gate knew its own request's sends only, as well. Proved by this test: all
-// services were gone.
+// Guards against one request that crashes every endpoint, seen on the users' platform: its caller
+// retries at any gate, and a gate that counts only its own sends of the request never stops it.
+// Without the quarantine this test lost all services.
 TEST(Serving, ARequestThatCrashesServicesIsQuarantinedAtAllGates)
 {
   EntryHost& other = m_deployment.AddHost("h2", "z1");
@@ -289,7 +289,7 @@
       LONGS_EQUAL(503, response.m_status);
       STRCMP_EQUAL("not_run", response.RunState().c_str());
     }
-    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // callers come back later
+    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // callers retry later
   }
   CHECK(isQuarantined);
   for (EntryHost* gate : gates) {
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -1,4 +1,4 @@
-// The deployment of a soak and the load on it.
+// The deployment of the soak test and the load on it.
 #include "tests/soak/soak.hpp"
 
 #include "ferrytray/base/time.hpp" // for MonotonicNow
@@ -126,7 +126,7 @@
     }
     headers.emplace_back("Ferrytray-Ticket", ticket);
   }
-  // The caller is impatient and asks two gates.
+  // An impatient caller sends the same call twice, usually to different gates.
   add(MakeServiceCall(RandomHost(), operation.m_body, headers));
   add(MakeServiceCall(RandomHost(), operation.m_body, headers));
   return operation;
--- a/tests/soak/soak.hpp
+++ b/tests/soak/soak.hpp
@@ -15,16 +15,17 @@
 using namespace integration;
 using namespace ferrytray;
 
-/// One thing a caller wants, perhaps asked for twice.
+/// One logical request of a caller, sent in one or two calls.
 struct Operation
 {
-  std::vector<std::string> m_requests; ///< ids of its calls
-  std::string m_body;                  ///< the service's body or the prompt
+  std::vector<std::string> m_requests; ///< request ids of its calls
+  std::string m_body;                  ///< the service call's body or the prompt
   bool m_isModelRequest = false;
   bool m_atMostOnce = false; ///< may run at most once over all its calls
 };
 
-/// One run: rounds of load, two faults in each, and what the ledgers say of it.
+/// A soak run: rounds of load with two injected faults each, checked against the execution ledgers
+/// of the stand-ins.
 class Soak
 {
 public:
@@ -32,7 +33,7 @@
   int Run(double aSeconds);
 
 private:
-  /// Lines of the deployment's file beyond the usual ones.
+  /// Fleet settings added to the standard file.
   inline static const std::string kFleetSettings =
     "    checks_fencing: true\n    max_concurrent_swaps: 1\n";
   inline static const std::vector<std::string> kKeeperArguments{ "--lease", "1500" };
@@ -54,7 +55,7 @@
   Operation MakeOperation(std::vector<Call>& aCalls);
   std::string RequestTicket();
 
-  // soak_faults.cpp: what goes wrong; each returns how it is mended
+  // soak_faults.cpp: injects faults; each function returns the one that removes the fault
   std::function<void()> InjectFault();
   std::function<void()> DropEngineReplies();
   std::function<void()> CutEngineStream();
@@ -81,7 +82,7 @@
   void SetAllServiceProxyFaults(const json& aFaults);
   void SetStoreFaults(const json& aFaults) { m_deployment.At("s1").SetFaults(aFaults); }
 
-  // soak_checks.cpp: what the ledgers say
+  // soak_checks.cpp: checks the responses and execution ledgers
   std::map<std::string, int> ReadLedgers();
   void CheckResponses(const std::vector<Operation>& aOperations,
                       const std::vector<std::size_t>& aOperationOf,
--- a/tests/soak/soak_checks.cpp
+++ b/tests/soak/soak_checks.cpp
@@ -1,4 +1,4 @@
-// What a soak checks, from the ledgers of the stand-ins.
+// Checks a round's responses against the execution ledgers of the stand-ins.
 #include "tests/soak/soak.hpp"
 
 #include <cstdio> // for printf
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -1,4 +1,4 @@
-// What goes wrong in a soak, and how it is mended.
+// Injects and removes the faults of a soak round.
 #include "tests/soak/soak.hpp"
 
 #include <csignal> // for SIGTERM, SIGSTOP
@@ -162,7 +162,7 @@
   const pid_t stopped = host.m_gate.Pid();
   host.m_gate.Signal(SIGTERM);
   return [this, &host, stopped] {
-    // Another fault of the round may have ended or replaced it.
+    // The round's other fault may have killed or replaced the gate.
     if (host.m_gate.Pid() == stopped) {
       host.m_gate.Wait();
       m_deployment.RestartGate(host, kGateArguments);
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -1,5 +1,6 @@
-// A seeded soak: random faults, two at once, under load; checked from outside by the ledgers of
-// the stand-ins. Usage: soak SECONDS SEED. Prints a one-page summary; fails on any violation.
+// A seeded soak test: two random faults at a time under load, checked from outside against the
+// execution ledgers of the stand-ins. Usage: soak SECONDS SEED. Prints a summary; exits with 1 on
+// any violation.
 #include <cstdio>  // for fprintf
 #include <cstdlib> // for strtoul
 
--- a/tests/suspension_test.cpp
+++ b/tests/suspension_test.cpp
@@ -1,9 +1,9 @@
-// A host that is suspended and resumed, such as a virtual machine that is moved.
+// Suspension and resumption of a host, such as a virtual machine during a live migration.
 //
-// Seen: by the platform's pages a host may be suspended for seconds, which the steady clock does
-// not count. All ages, leases and due times were taken from that clock, so that a host that came
-// back took its lease for held, its configuration for fresh and its requests for in time. Proved by
-// the clocks below, which differ as they do after a suspension: the three first tests were red.
+// The platform may suspend a host for seconds, during which CLOCK_MONOTONIC (the steady clock)
+// stands still. With ages, leases and due times taken from it, a resumed host would believe that
+// its lease is held, its configuration fresh and its requests in time. These tests replace
+// clock_gettime with clocks that differ as after a suspension; they failed with the steady clock.
 #include <ctime>         // for clockid_t, timespec
 #include <sys/syscall.h> // for SYS_clock_gettime
 #include <unistd.h>      // for syscall
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// For how long this process was suspended so far.
+/// Total simulated suspension.
 time_t g_suspendedSeconds = 0;
 
 } // namespace
 
-/// Takes the place of the C library's in this program.
+/// Replaces the C library's function in this program.
 extern "C" int clock_gettime(clockid_t aClock, timespec* aTime)
 {
   const long result = syscall(SYS_clock_gettime, aClock, aTime);
--- a/tests/test_main.cpp
+++ b/tests/test_main.cpp
@@ -1,7 +1,8 @@
 #include <CppUTest/CommandLineTestRunner.h>   // for RunAllTests
 #include <CppUTest/MemoryLeakWarningPlugin.h> // for turnOffNewDeleteOverloads
 
-// glog and the standard library keep start-up memory; the asan preset finds leaks.
+// Disables CppUTest's leak detection: glog and the standard library keep memory allocated at
+// startup. The asan preset finds leaks instead.
 int main(int argc, char** argv)
 {
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
