--- a/examples/embed/embed.cpp
+++ b/examples/embed/embed.cpp
@@ -1,4 +1,4 @@
-// Embeds one decision part: asks which of two workers should serve a returning prompt.
+// Embeds the routing library: chooses which of two workers should serve a repeated prompt.
 #include <iostream> // for cout
 #include <vector>   // for vector
 
