--- a/standins/engine_cache.hpp
+++ b/standins/engine_cache.hpp
@@ -9,7 +9,7 @@
 
 namespace standins {
 
-/// One change of the cache, as an engine publishes it.
+/// A published change of the cache: a block was stored or evicted.
 struct CacheEvent
 {
   std::uint64_t m_sequence = 0;
@@ -17,7 +17,7 @@
   bool m_stored = false;
 };
 
-/// The engine's prefix cache: block name to content, least recently used out first.
+/// The engine's prefix cache with LRU eviction: maps block names to contents.
 class EngineCache
 {
 public:
@@ -27,11 +27,12 @@
   }
 
   void Put(const std::string& aBlock, const std::string& aValue);
-  /// The content, or empty; a hit makes it the most recent.
+  /// Returns the content, or an empty string. A hit makes the block the most recently used.
   std::string Get(const std::string& aBlock);
   void Clear();
-  [[nodiscard]] std::vector<std::string> Names() const;
-  /// Events after a sequence number. Old ones are forgotten, which the reader sees as a gap.
+  [[nodiscard]] std::vector<std::string> BlockNames() const;
+  /// Returns the events after a sequence number. Old events are discarded, which a reader sees as a
+  /// gap in the numbers.
   [[nodiscard]] std::vector<CacheEvent> EventsAfter(std::uint64_t aSequence) const;
   [[nodiscard]] std::uint64_t LastSequence() const { return m_sequence; }
 
@@ -39,14 +40,14 @@
   struct Entry
   {
     std::string m_value;
-    std::list<std::string>::iterator m_place;
+    std::list<std::string>::iterator m_position;
   };
 
-  void Tell(const std::string& aBlock, bool aStored);
+  void AddEvent(const std::string& aBlock, bool aStored);
 
   std::size_t m_capacity;
   std::uint64_t m_sequence = 0;
-  std::list<std::string> m_recent;
+  std::list<std::string> m_lruOrder;
   std::unordered_map<std::string, Entry> m_blocks;
   std::deque<CacheEvent> m_events;
 };
--- a/tools/cli_story.cpp
+++ b/tools/cli_story.cpp
@@ -1,19 +1,19 @@
-// explain REQUEST LOG... and summarize LOG...: one request's story, or a day's tables, out of
-// log files, without any running program.
+// Implements `explain REQUEST LOG...` and `summarize LOG...`, which read log files only and need no
+// running gate or keeper.
 #include <algorithm> // for min
 #include <fstream>   // for ifstream
 #include <iostream>  // for cin, cout, cerr
 
 #include "cli.hpp"
 #include "ferrytray/telemetry/log_summary.hpp"   // for LogSummary
-#include "ferrytray/telemetry/request_trace.hpp" // for RequestTrace
+#include "ferrytray/telemetry/request_trace.hpp" // for RequestStory
 
 namespace ferrytray::cli {
 
 namespace {
 
-/// A collector that merges logs writes the host's name before each line.
-std::string LogOf(const std::string& aName, const std::string& aLine)
+/// The name of a line's source. A collector that merges logs prefixes each line with a host name.
+std::string LogSource(const std::string& aName, const std::string& aLine)
 {
   const std::string prefix = aLine.substr(0, std::min(aLine.find("event="), aLine.size()));
   const std::size_t end = prefix.find_last_not_of(' ');
@@ -25,19 +25,19 @@
   return prefix.substr(begin, end + 1 - begin) + " in " + aName;
 }
 
-/// Calls with each line and the log that it is from; "-" is standard input.
-/// @return false if one cannot be read, which is told
-template<typename Call>
-bool ForEachLine(const std::vector<std::string>& aLogs, const Call& aCall)
+/// Calls aOnLine with the source and text of every line; "-" is standard input.
+/// @return false, after printing an error, if a log cannot be read
+template<typename OnLine>
+bool ForEachLine(const std::vector<std::string>& aLogs, const OnLine& aOnLine)
 {
-  const auto all = [&aCall](std::istream& aFrom, const std::string& aName) {
+  const auto readLines = [&aOnLine](std::istream& aFrom, const std::string& aName) {
     for (std::string line; std::getline(aFrom, line);) {
-      aCall(LogOf(aName, line), line);
+      aOnLine(LogSource(aName, line), line);
     }
   };
   for (const std::string& name : aLogs) {
     if (name == "-") {
-      all(std::cin, "standard input");
+      readLines(std::cin, "standard input");
       continue;
     }
     std::ifstream file(name);
@@ -46,15 +46,15 @@
                 << ": cannot read " << name << "\n";
       return false;
     }
-    all(file, name);
+    readLines(file, name);
   }
   return true;
 }
 
-ExitCode Print(const std::string& aText, const std::string& aWhenEmpty)
+ExitCode PrintOrFail(const std::string& aText, const std::string& aEmptyMessage)
 {
   if (aText.empty()) {
-    std::cerr << aWhenEmpty << "\n";
+    std::cerr << aEmptyMessage << "\n";
     return settings::kExitFailed;
   }
   std::cout << aText;
@@ -68,7 +68,7 @@
   telemetry::RequestTrace story(aRequest);
   const bool read = ForEachLine(
     aLogs, [&](const std::string& aLog, const std::string& aLine) { story.Add(aLog, aLine); });
-  return read ? Print(story.Render(), "no line of these logs names request " + aRequest)
+  return read ? PrintOrFail(story.Render(), "no line of these logs names request " + aRequest)
               : settings::kExitFailed;
 }
 
@@ -77,7 +77,7 @@
   telemetry::LogSummary summary;
   const bool read =
     ForEachLine(aLogs, [&](const std::string&, const std::string& aLine) { summary.Add(aLine); });
-  return read ? Print(summary.Render(), "no request has ended in these logs")
+  return read ? PrintOrFail(summary.Render(), "no request has ended in these logs")
               : settings::kExitFailed;
 }
 
