--- a/src/ferrytray/store/topic_follower_test.cpp
+++ b/src/ferrytray/store/topic_follower_test.cpp
@@ -134,7 +134,7 @@
 
 // Guards against hosts that fall behind while the log leaves held reads unanswered: the next read
 // used to be held open again. Now it is not, and only its failure counts as an outage.
-TEST(TopicFollower, DoesNotHoldTheReadAfterAFailedHeldReadOpen)
+TEST(TopicFollower, DoesNotHoldOpenTheReadAfterAFailedHeldRead)
 {
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
   m_log.m_batches.push_back(base::Fail(base::ErrorCode::PlatformUnavailable, "no answer"));
