--- a/include/ferrytray/store/record_tail.hpp
+++ b/include/ferrytray/store/record_tail.hpp
@@ -14,7 +14,7 @@
 /// @brief How much is relayed to another host at a time.
 enum class RelayLimit : std::uint8_t
 {
-  Bounded,   ///< up to m_maxRelayBytes; the other host can read the rest from the log
+  Bounded,   ///< at most m_maxRelayBytes, otherwise none; the other host reads them from the log
   Unbounded, ///< without a limit; the other host cannot reach the log
 };
 
@@ -54,7 +54,7 @@
     }
   }
 
-  /// @brief Moves the end to aEnd. The records before it carry nothing new and are not relayed.
+  /// @brief Moves the end to aEnd: the records skipped carry nothing new and are not relayed.
   void SkipTo(Offset aEnd) { m_end = std::max(m_end, aEnd); }
 
   /// @brief Returns the records from an offset on that carry something new; none if they are no
--- a/include/ferrytray/store/topic_follower.hpp
+++ b/include/ferrytray/store/topic_follower.hpp
@@ -21,7 +21,8 @@
 struct FollowOptions
 {
   std::string m_topic;
-  /// How long the log holds a read open while there is nothing new; zero: it replies at once.
+  /// How long the log may hold a read open while there is nothing new (a held read); zero: it
+  /// replies at once.
   base::Duration m_wait{};
   /// Pause between reads. Every read is charged to the operators, so a busy topic is read in
   /// batches.
@@ -147,7 +148,7 @@
   bool m_relayed = false; ///< another host relays the topic; this one does not read it
   std::optional<base::TimePoint> m_lastContactAt; ///< latest known reply of the log to any host
   std::uint64_t m_outages = 0;                    ///< number of times that the log recovered
-  std::optional<std::uint64_t> m_relayOutages;    ///< the same count of the relaying host
+  std::optional<std::uint64_t> m_relayOutages;    ///< m_outages of the last relayed update
   std::optional<base::TimePoint> m_lastServedAt;  ///< when another host last requested an update
   std::unordered_map<std::string, Record> m_newestByKey; ///< newest delivered record of each key
   net::TimerHandle m_timer;
--- a/src/ferrytray/store/topic_update_test.cpp
+++ b/src/ferrytray/store/topic_update_test.cpp
@@ -132,8 +132,9 @@
   CHECK(m_follower->UpdateSince({ "t", 4 }, base::MonotonicNow())->m_unavailable);
 }
 
-// The log rejects some hosts, and connections of others are reset or silently dropped. Updates are
-// trusted for most of the bound on the delay, so that no time is left for a held read.
+// Guards against late records under load, when the log rejects some hosts and connections of others
+// are reset or silently dropped. Updates are trusted for most of the bound on the delay, so no time
+// is left for a held read.
 TEST(TopicUpdate, TheFirstReadAfterUpdatesEndIsNotHeldOpen)
 {
   m_log.m_snapshots.push_back(store::Snapshot{ 5, {} });
