--- a/include/ferrytray/fleet/directory.hpp
+++ b/include/ferrytray/fleet/directory.hpp
@@ -47,8 +47,8 @@
   /// On the users' platform, entries that expired during an outage of the directory's source return
   /// within about 2 s of its recovery. An entry that is missing for longer is dropped.
   base::Duration m_returnWindow = std::chrono::milliseconds(2000);
-  /// An entry that is listed this long after another one of the same service and address replaces
-  /// it. Of two entries that are read together it is unknown which one is newer.
+  /// An entry that is first listed at least this long after another one of the same service and
+  /// address replaces it. Of two entries that are read together it is unknown which one is newer.
   base::Duration m_replacementDelay = std::chrono::milliseconds(300);
 };
 
@@ -66,12 +66,13 @@
   {
   }
 
-  /// @brief Adds or updates an entry that was read. One with an earlier start time than the known
-  /// one is ignored.
+  /// @brief Adds or updates an entry that was read. Ignores one with an earlier start time than the
+  /// known one, and one of an incarnation that is marked as gone.
   void Upsert(Endpoint aEndpoint, base::TimePoint aNow);
-  /// @brief Removes an id whose entry was removed at the source.
+  /// @brief Removes an id whose entry was removed at the source. Within m_returnWindow after an
+  /// outage, an entry that is not leaving is kept until the window ends.
   void Remove(const std::string& aId, base::TimePoint aNow);
-  /// @brief Removes all ids that are not in the complete list that was read.
+  /// @brief Removes all ids that are not in the complete list that was read, as Remove() does.
   void RemoveUnlisted(const std::set<std::string>& aListed, base::TimePoint aNow);
   /// @brief The source answers again after an outage.
   void OnSourceRecovered(base::TimePoint aNow) { m_sourceRecoveredAt = aNow; }
@@ -116,7 +117,7 @@
   struct Entry
   {
     Endpoint m_endpoint;
-    base::TimePoint m_listedSince;             ///< first listed at
+    base::TimePoint m_listedSince;             ///< when it was first listed
     std::optional<base::TimePoint> m_removeAt; ///< missing; dropped then unless it returns
     /// By model: guesses that the endpoint has refused since its weights were last known.
     std::map<std::string, std::set<WeightVersion>> m_refusedGuesses;
@@ -126,7 +127,8 @@
                                            WeightVersion aProven,
                                            WeightVersion aNewest);
 
-  /// Marks the former endpoint at a new endpoint's address as gone.
+  /// Marks the former endpoint at a new endpoint's address as gone if it is of the same service and
+  /// was listed at least m_replacementDelay earlier.
   void MarkReplaced(const Endpoint& aNew, base::TimePoint aNow);
   void RemoveIncarnation(const std::string& aIncarnation, base::TimePoint aNow);
 
--- a/src/ferrytray/fleet/directory.cpp
+++ b/src/ferrytray/fleet/directory.cpp
@@ -145,7 +145,7 @@
   }
   WeightVersion& assumed = found->second.m_endpoint.m_weights[aModel];
   if (assumed != aNamed) {
-    return; // the version has changed since that request was sent
+    return; // the assumed version has changed since that request was sent
   }
   std::set<WeightVersion>& refused = found->second.m_refusedGuesses[aModel];
   refused.insert(aNamed);
--- a/src/ferrytray/fleet/directory_test.cpp
+++ b/src/ferrytray/fleet/directory_test.cpp
@@ -103,8 +103,8 @@
   LONGS_EQUAL(2, AssumedWeights("a"));
 }
 
-// The host that announced a reload stalled before it gave the order, and newer weights were named
-// meanwhile.
+// Guards against guessing the newest version when the host that announced a reload stalled before
+// it gave the order, and newer weights were named meanwhile.
 TEST(Directory, AWeightMismatchFallsBackToTheProvenVersionFirst)
 {
   m_directory.Upsert(MakeEngine("a", 1), kStart);
