--- a/include/ferrytray/once/claim_coordinator.hpp
+++ b/include/ferrytray/once/claim_coordinator.hpp
@@ -32,8 +32,8 @@
   LiveClaim m_holder;
 };
 
-/// @brief The claim was not resolved, for example within the timeout; the request was not run and
-/// must be rejected.
+/// @brief The claim was neither won nor lost, for example because it was not read back in time; the
+/// request was not run and must be rejected.
 struct ClaimUnsettled
 {
   base::Digest128 m_id;
@@ -77,7 +77,8 @@
   ClaimActions OnAppendEnded(bool aReplied);
   /// @brief Handles the next record of the stream.
   ClaimActions OnRecord(const LogPosition& aPosition, std::span<const ClaimEntry> aEntries);
-  /// @brief Abandons claims that were not read back before their deadline.
+  /// @brief Abandons and releases claims that were not read back before their deadline. Appends
+  /// releases again that were not read back yet.
   ClaimActions OnTick(base::TimePoint aNow);
 
   [[nodiscard]] const ClaimTable& Table() const { return m_table; }
--- a/src/ferrytray/once/claim_test.cpp
+++ b/src/ferrytray/once/claim_test.cpp
@@ -230,7 +230,7 @@
       const once::ClaimEntry entry =
         steps[at] % 3 == 0 ? once::ClaimEntry(once::Release{ { 0, id } }) : MakeClaim(id, "g");
       full.Apply({ at, time }, { &entry, 1 });
-      // Releases follow their claims within the window, as append delays are shorter.
+      // Claim and release of an id are less than 60 steps apart, as append delays are bounded.
       if (at >= 60) {
         fresh.Apply({ at, time }, { &entry, 1 });
       }
