--- a/include/ferrytray/replay/config_replay.hpp
+++ b/include/ferrytray/replay/config_replay.hpp
@@ -38,7 +38,7 @@
   LogOffset m_expectedBaseOffset = 0;
   std::string m_reason;
 };
-/// @brief The record was applied before, or is a renewal that does not change the state.
+/// @brief The record was applied before, or is a renewal that does not change the accepted file.
 struct Unchanged
 {
 };
--- a/include/ferrytray/replay/registry.hpp
+++ b/include/ferrytray/replay/registry.hpp
@@ -12,7 +12,7 @@
 
 namespace ferrytray::replay {
 
-/// @brief Indexes the configuration in force by the keys that requests carry.
+/// @brief Indexes the configuration in force by what requests carry: bearer key, model or path.
 ///
 /// The cost of replacing a scope depends only on the size of that scope.
 class Registry
