--- a/include/ferrytray/rollout/rollout_driver.hpp
+++ b/include/ferrytray/rollout/rollout_driver.hpp
@@ -60,8 +60,10 @@
   std::string m_incarnation;
   std::string m_model;
   fleet::WeightVersion m_version = 0;
-  base::TimePoint m_expectedEnd; ///< expected or actual end of the load
-  std::uint64_t m_revision = 0;  ///< the highest one is valid, also across successive lease holders
+  /// When requests are routed to the engine again: somewhat before the expected end of the load, or
+  /// at its actual end.
+  base::TimePoint m_expectedEnd;
+  std::uint64_t m_revision = 0; ///< the highest one is valid, also across successive lease holders
 };
 
 /// @brief Rolls out the weight versions wanted by the operators. One host at a time sends orders.
--- a/src/ferrytray/rollout/rollout_driver_test.cpp
+++ b/src/ferrytray/rollout/rollout_driver_test.cpp
@@ -263,7 +263,8 @@
   CHECK(reports[0].m_expectedEnd - announcedAt >= 400ms);
 }
 
-// The workload requests a second version seconds after the first one.
+// Guards against ordering outdated weights when the operators name a second version seconds after
+// the first one, between the announcement of a reload and its order.
 TEST(RolloutDriver, AnnouncedOrderIsRetargetedToNewerWeights)
 {
   AddEngine("e1", 1);
@@ -303,8 +304,9 @@
   CHECK(expectedEnds.at(3) > expectedEnds.at(1) + 250ms);
 }
 
-// Engine states were queried only after 0.8 of the expected load time, so short loads delayed every
-// following engine, and a roll-out whose lease holder changed missed its time limit (soak, seed 6).
+// Guards against querying engine states only after 0.8 of the expected load time: where loads are
+// short, this delayed every following engine, and a roll-out whose lease holder changed missed its
+// time limit (soak, seed 6).
 TEST(RolloutDriver, ShortLoadDoesNotDelayNextEngine)
 {
   for (const char* name : { "e1", "e2", "e3" }) {
