--- a/include/ferrytray/config/parse.hpp
+++ b/include/ferrytray/config/parse.hpp
@@ -35,7 +35,7 @@
 /// @brief Parses a YAML configuration file. A file with an error is rejected as a whole.
 /// @param aText the content of the file
 /// @param aFile its name, for messages
-/// @return the document, or the problems found
+/// @return the document, or the first problem found
 ///
 /// @code
 /// auto document = config::Parse(text, "accounts.yaml");
--- a/src/ferrytray/config/check.cpp
+++ b/src/ferrytray/config/check.cpp
@@ -16,7 +16,8 @@
   {
   }
 
-  /// Checks that no value, such as a name, is used twice in the document and the other scopes.
+  /// Reports every value of the document, such as a name, that it repeats or that another scope
+  /// uses.
   template<typename List, typename Value>
   void CheckUnique(const Document& aDocument, List aList, Value aValue, const std::string& aKind)
   {
