--- a/examples/embed/embed.cpp
+++ b/examples/embed/embed.cpp
@@ -2,7 +2,7 @@
 #include <iostream> // for cout
 #include <vector>   // for vector
 
-#include <ferrytray/routing/choose.hpp> // for Choose
+#include <ferrytray/routing/choose.hpp> // for ChooseWorker
 
 int main()
 {
--- a/include/ferrytray/gate/context_tracker.hpp
+++ b/include/ferrytray/gate/context_tracker.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map> // for unordered_map
 
 #include "ferrytray/base/digest.hpp"       // for Digest128
-#include "ferrytray/routing/retention.hpp" // for ReturnGaps
+#include "ferrytray/routing/retention.hpp" // for ReturnHistogram
 
 namespace ferrytray::gate {
 
--- a/include/ferrytray/gate/response_writer.hpp
+++ b/include/ferrytray/gate/response_writer.hpp
@@ -6,7 +6,7 @@
 #include <string>     // for string
 
 #include "ferrytray/gate/answer_format.hpp" // for TokenUsage, ResponseMetadata
-#include "ferrytray/once/ticket_table.hpp"  // for KeptAnswer
+#include "ferrytray/once/ticket_table.hpp"  // for StoredAnswer
 
 namespace ferrytray::gate {
 
--- a/include/ferrytray/peers/messages.hpp
+++ b/include/ferrytray/peers/messages.hpp
@@ -6,13 +6,13 @@
 #include <vector>      // for vector
 
 #include "ferrytray/base/error.hpp"              // for Result
-#include "ferrytray/cache/contents_delta.hpp"    // for ContentsCursor, ContentsDigest
+#include "ferrytray/cache/contents_delta.hpp"    // for ContentsCursor, ContentsDelta
 #include "ferrytray/peers/load_table.hpp"        // for EndpointLoads, LoadScope
 #include "ferrytray/peers/reload_table.hpp"      // for ReloadNotices
 #include "ferrytray/peers/replacement_table.hpp" // for ReplacementNotices
 #include "ferrytray/peers/roster.hpp"            // for Peer
 #include "ferrytray/quarantine/crash_board.hpp"  // for CrashNotices, Suspicion
-#include "ferrytray/quarantine/notice_log.hpp"   // for NoticeNumber
+#include "ferrytray/quarantine/notice_log.hpp"   // for NoticeOffset
 #include "ferrytray/store/topic_update.hpp"      // for TopicCursor, TopicUpdate
 
 namespace ferrytray::peers {
--- a/include/ferrytray/relay/prompt_dispatcher.hpp
+++ b/include/ferrytray/relay/prompt_dispatcher.hpp
@@ -6,8 +6,8 @@
 #include <unordered_map> // for unordered_map
 #include <vector>        // for vector
 
-#include "ferrytray/peers/peer_exchange.hpp"     // for NewsExchange
-#include "ferrytray/peers/unreachable_table.hpp" // for UnreachableBoard
+#include "ferrytray/peers/peer_exchange.hpp"     // for PeerExchange
+#include "ferrytray/peers/unreachable_table.hpp" // for UnreachableTable
 #include "ferrytray/relay/assignment.hpp"        // for Assignment
 #include "ferrytray/relay/relay_core.hpp"        // for RelayCore
 #include "ferrytray/routing/prefill_queues.hpp"  // for PrefillQueues
--- a/include/ferrytray/relay/quarantine_feed.hpp
+++ b/include/ferrytray/relay/quarantine_feed.hpp
@@ -6,7 +6,7 @@
 #include <string>     // for string
 
 #include "ferrytray/net/loop.hpp"                 // for Loop
-#include "ferrytray/quarantine/record_keeper.hpp" // for RecordKeeper
+#include "ferrytray/quarantine/record_keeper.hpp" // for RecordReconciler
 #include "ferrytray/relay/feed_options.hpp"       // for FeedOptions
 #include "ferrytray/relay/relay_core.hpp"         // for RelayCore
 #include "ferrytray/store/topic_follower.hpp"     // for TopicFollower
--- a/include/ferrytray/relay/relay_core.hpp
+++ b/include/ferrytray/relay/relay_core.hpp
@@ -13,19 +13,19 @@
 #include "ferrytray/cache/part_planner.hpp"        // for PartPlanner, Stores
 #include "ferrytray/fleet/configuration_index.hpp" // for ConfigurationPtr
 #include "ferrytray/fleet/directory.hpp"           // for Directory
-#include "ferrytray/fleet/named_weights.hpp"       // for NamedWeightsLog
+#include "ferrytray/fleet/named_weights.hpp"       // for NamedWeightsHistory
 #include "ferrytray/limits/admission_limit.hpp"    // for AdmissionLimit
 #include "ferrytray/limits/retry_window.hpp"       // for RetryWindow
 #include "ferrytray/net/http_client.hpp"           // for HttpClient
 #include "ferrytray/net/loop.hpp"                  // for Loop
-#include "ferrytray/peers/load_table.hpp"          // for LoadBoard
-#include "ferrytray/peers/reload_table.hpp"        // for ReloadBoard
-#include "ferrytray/quarantine/crash_board.hpp"    // for CrashBoard
+#include "ferrytray/peers/load_table.hpp"          // for LoadTable
+#include "ferrytray/peers/reload_table.hpp"        // for ReloadTable
+#include "ferrytray/quarantine/crash_board.hpp"    // for CrashTracker
 #include "ferrytray/relay/attempt_policy.hpp"      // for AttemptLimits
 #include "ferrytray/relay/prompt_placement.hpp"    // for PromptPlacement
 #include "ferrytray/relay/wire_format.hpp"         // for WireFormat
 #include "ferrytray/routing/cold_starts.hpp"       // for ColdStarts
-#include "ferrytray/routing/endpoint_tracker.hpp"  // for EndpointBoard
+#include "ferrytray/routing/endpoint_tracker.hpp"  // for EndpointTracker
 #include "ferrytray/store/unreadable_records.hpp"  // for UnreadableRecords
 #include "ferrytray/telemetry/metrics.hpp"         // for Metrics
 
--- a/include/ferrytray/relay/relay_host.hpp
+++ b/include/ferrytray/relay/relay_host.hpp
@@ -5,7 +5,7 @@
 
 #include "ferrytray/base/error.hpp"              // for Result
 #include "ferrytray/net/http_server.hpp"         // for HttpServer
-#include "ferrytray/peers/peer_exchange.hpp"     // for NewsExchange
+#include "ferrytray/peers/peer_exchange.hpp"     // for PeerExchange
 #include "ferrytray/relay/prompt_dispatcher.hpp" // for PromptDispatcher
 #include "ferrytray/relay/quarantine_feed.hpp"   // for QuarantineFeed
 #include "ferrytray/relay/relay_core.hpp"        // for RelayCore
--- a/include/ferrytray/relay/upkeep_duty.hpp
+++ b/include/ferrytray/relay/upkeep_duty.hpp
@@ -3,7 +3,7 @@
 #include <functional> // for function
 #include <vector>     // for vector
 
-#include "ferrytray/cache/store_cleanup.hpp" // for StoreUpkeep, FreeParts
+#include "ferrytray/cache/store_cleanup.hpp" // for StoreCleanup, FreeParts
 #include "ferrytray/relay/relay_core.hpp"    // for RelayCore
 #include "ferrytray/rollout/leased_duty.hpp" // for LeasedDuty
 
--- a/src/ferrytray/gate/gate.cpp
+++ b/src/ferrytray/gate/gate.cpp
@@ -12,7 +12,7 @@
 #include "ferrytray/gate/service_exchange.hpp"   // for ServiceExchange
 #include "ferrytray/gate/ticket_transfer.hpp"    // for TicketTransfer
 #include "ferrytray/telemetry/log_line.hpp"      // for LogLine
-#include "ferrytray/wire/half_view.hpp"          // for HalfViewOf
+#include "ferrytray/wire/half_view.hpp"          // for MakeHalfView
 
 namespace ferrytray::gate {
 
--- a/src/ferrytray/gate/keeper_connection.cpp
+++ b/src/ferrytray/gate/keeper_connection.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm> // for find, max
 
-#include "ferrytray/base/known_age.hpp"     // for DeniesWithin, MayBeBehind
+#include "ferrytray/base/known_age.hpp"     // for ToMaxDenialAge, MayBeBehind
 #include "ferrytray/config/parse.hpp"       // for Parse
 #include "ferrytray/telemetry/log_line.hpp" // for LogLine
 
--- a/src/ferrytray/keeper/peer_catch_up.cpp
+++ b/src/ferrytray/keeper/peer_catch_up.cpp
@@ -2,7 +2,7 @@
 
 #include <utility> // for move
 
-#include "ferrytray/net/frame_channel.hpp" // for ConnectFrames
+#include "ferrytray/net/frame_channel.hpp" // for ConnectFrameChannel
 #include "ferrytray/wire/frames.hpp"       // for DecodeFrame, EncodeFrame, Hello
 
 namespace ferrytray::keeper {
--- a/src/ferrytray/keeper/share_calculator.cpp
+++ b/src/ferrytray/keeper/share_calculator.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm> // for sort
 
-#include "ferrytray/limits/account_limiter.hpp" // for ShareOf
+#include "ferrytray/limits/account_limiter.hpp" // for ComputeShare
 
 namespace ferrytray::keeper {
 
--- a/src/ferrytray/peers/peer_exchange_test.cpp
+++ b/src/ferrytray/peers/peer_exchange_test.cpp
@@ -1,7 +1,7 @@
 #include <algorithm> // for all_of
 #include <vector>    // for vector
 
-#include "tests/support/news_fixture.hpp" // for NewsFixture
+#include "tests/support/news_fixture.hpp" // for PeerExchangeFixture
 
 #include <CppUTest/TestHarness.h> // for TEST
 
--- a/src/ferrytray/peers/peer_notices_test.cpp
+++ b/src/ferrytray/peers/peer_notices_test.cpp
@@ -1,7 +1,7 @@
 // Exchange of notices on reloads, replaced endpoints and requests that crash endpoints.
 #include <vector> // for vector
 
-#include "tests/support/news_fixture.hpp" // for NewsFixture
+#include "tests/support/news_fixture.hpp" // for PeerExchangeFixture
 
 #include <CppUTest/TestHarness.h> // for TEST
 
--- a/src/ferrytray/peers/peer_topics_test.cpp
+++ b/src/ferrytray/peers/peer_topics_test.cpp
@@ -2,7 +2,7 @@
 #include <array>  // for array
 #include <vector> // for vector
 
-#include "tests/support/news_fixture.hpp" // for NewsFixture
+#include "tests/support/news_fixture.hpp" // for PeerExchangeFixture
 
 #include <CppUTest/TestHarness.h> // for TEST
 
--- a/src/ferrytray/relay/call_planner.cpp
+++ b/src/ferrytray/relay/call_planner.cpp
@@ -3,7 +3,7 @@
 #include <vector> // for vector
 
 #include "ferrytray/relay/candidates.hpp"      // for FindCandidates
-#include "ferrytray/routing/engine_memory.hpp" // for SizeOf
+#include "ferrytray/routing/engine_memory.hpp" // for ClassifyPrompt
 
 namespace ferrytray::relay {
 
--- a/src/ferrytray/relay/candidates.cpp
+++ b/src/ferrytray/relay/candidates.cpp
@@ -4,7 +4,7 @@
 
 #include "ferrytray/peers/replacement_table.hpp" // for KeyOf
 #include "ferrytray/relay/cold_engines.hpp"      // for MaySendToCold
-#include "ferrytray/routing/engine_memory.hpp"   // for HasRoom, SizeOf
+#include "ferrytray/routing/engine_memory.hpp"   // for HasRoom, ClassifyPrompt
 
 namespace ferrytray::relay {
 
--- a/src/ferrytray/relay/feed_options_test.cpp
+++ b/src/ferrytray/relay/feed_options_test.cpp
@@ -12,7 +12,7 @@
 
 #include <vector> // for vector
 
-#include "ferrytray/peers/peer_exchange.hpp"  // for NewsOptions
+#include "ferrytray/peers/peer_exchange.hpp"  // for PeerExchangeOptions
 #include "ferrytray/store/topic_follower.hpp" // for FollowOptions
 
 #include <CppUTest/TestHarness.h> // for TEST
--- a/src/ferrytray/relay/prompt_dispatcher.cpp
+++ b/src/ferrytray/relay/prompt_dispatcher.cpp
@@ -10,7 +10,7 @@
 #include "ferrytray/base/digest.hpp"           // for HashWithSeed
 #include "ferrytray/relay/candidates.hpp"      // for FindCandidates
 #include "ferrytray/relay/cold_engines.hpp"    // for RecordColdSend
-#include "ferrytray/routing/engine_memory.hpp" // for HasRoom, SizeOf
+#include "ferrytray/routing/engine_memory.hpp" // for HasRoom, ClassifyPrompt
 #include "ferrytray/routing/rendezvous.hpp"    // for RendezvousHomes
 
 namespace ferrytray::relay {
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -1,6 +1,6 @@
 #include "standins/engine.hpp"
 
-#include "standins/engine_text.hpp" // for Hash, Sse
+#include "standins/engine_text.hpp" // for Hash, ToServerSentEvent
 
 namespace standins {
 
--- a/standins/engine_runs.cpp
+++ b/standins/engine_runs.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm> // for max, min
 
-#include "standins/engine_text.hpp" // for Hash, Sse
+#include "standins/engine_text.hpp" // for Hash, ToServerSentEvent
 
 namespace standins {
 
--- a/tests/support/news_fixture.hpp
+++ b/tests/support/news_fixture.hpp
@@ -5,7 +5,7 @@
 #include <optional>   // for optional
 #include <string>     // for string
 
-#include "ferrytray/peers/peer_exchange.hpp"   // for NewsExchange
+#include "ferrytray/peers/peer_exchange.hpp"   // for PeerExchange
 #include "tests/support/memory_record_log.hpp" // for MemoryRecordLog
 
 #include <CppUTest/TestHarness.h> // for CHECK
--- a/tools/cli_story.cpp
+++ b/tools/cli_story.cpp
@@ -6,7 +6,7 @@
 
 #include "cli.hpp"
 #include "ferrytray/telemetry/log_summary.hpp"   // for LogSummary
-#include "ferrytray/telemetry/request_trace.hpp" // for RequestStory
+#include "ferrytray/telemetry/request_trace.hpp" // for RequestTrace
 
 namespace ferrytray::cli {
 
--- a/tools/load_sweep.cpp
+++ b/tools/load_sweep.cpp
@@ -2,7 +2,7 @@
 #include <cstdio>    // for printf
 #include <future>    // for async
 
-#include "ferrytray/experiment/model.hpp" // for Play
+#include "ferrytray/experiment/model.hpp" // for Simulate
 #include "load.hpp"
 
 namespace ferrytray::load {
